--- a/route/affinity_test.go
+++ b/route/affinity_test.go
@@ -10,29 +10,30 @@
 	"github.com/mangostage/mangostage/bundle"
 )
 
-// homesOf counts where calls with each of a hundred prefixes go.
-func homesOf(t *testing.T, snap *Snapshot, seed uint64) map[uint64]string {
+// prefixEndpoints returns the chosen endpoint for each of a hundred prefixes.
+func prefixEndpoints(t *testing.T, snap *Snapshot, seed uint64) map[uint64]string {
 	t.Helper()
 	r := newTestRouter(t, bundle.PolicyAdaptive)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	homes := map[uint64]string{}
+	chosen := map[uint64]string{}
 	for hash := uint64(1); hash <= 100; hash++ {
-		homes[hash] = r.Pick(snap, &Request{Pool: "llm", AffinityHash: hash}, start, rng).Endpoint.Name
+		chosen[hash] = r.Pick(snap, &Request{Pool: "llm", AffinityHash: hash}, start, rng).Endpoint.Name
 	}
-	return homes
+	return chosen
 }
 
-// Story: engines publish cache events late and with gaps. The entry asks for
-// none: the same prefix goes to the same engine from every entry and with any
-// random source, and the loss of one engine moves only the prefixes it held.
+// Cache events of engines arrive late and with gaps, so routing must not need
+// them. Guards against a prefix that maps to different engines depending on the
+// entry or the random source, and against the loss of one engine moving
+// prefixes that were not mapped to it.
 func TestPrefixStaysWithoutCacheEvents(t *testing.T) {
 	endpoints := testEndpoints(12)
-	before := homesOf(t, testSnapshot(endpoints), 1)
+	before := prefixEndpoints(t, testSnapshot(endpoints), 1)
 	other := &Snapshot{Domain: "domain-2", Pools: map[string]*Pool{"llm": NewPool("llm", "entry-2", endpoints)}}
-	assert.DeepEqual(t, homesOf(t, other, 2), before)
+	assert.DeepEqual(t, prefixEndpoints(t, other, 2), before)
 	endpoints[4].State = StateEjected
 	used := map[string]bool{}
-	for hash, name := range homesOf(t, testSnapshot(endpoints), 3) {
+	for hash, name := range prefixEndpoints(t, testSnapshot(endpoints), 3) {
 		used[name] = true
 		assert.Assert(t, name == before[hash] || before[hash] == endpoints[4].Name)
 	}
@@ -41,13 +42,13 @@
 
 func TestPrefixYieldsToQueue(t *testing.T) {
 	endpoints := testEndpoints(12)
-	home := homesOf(t, testSnapshot(endpoints), 1)[1]
+	preferred := prefixEndpoints(t, testSnapshot(endpoints), 1)[1]
 	for _, e := range endpoints {
-		if e.Name == home {
+		if e.Name == preferred {
 			e.Report.InFlight = 12
 		}
 	}
-	assert.Assert(t, homesOf(t, testSnapshot(endpoints), 1)[1] != home)
+	assert.Assert(t, prefixEndpoints(t, testSnapshot(endpoints), 1)[1] != preferred)
 }
 
 func TestRequestSentAgainMeetsItsEndpoint(t *testing.T) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// Story: the few endpoints that an entry prefers fill up while others of a
-// large pool stand idle. Calls must go to those before they queue.
+// Guards against calls that queue on the full endpoints of an entry's subset
+// while other endpoints of a large pool are idle.
 func TestSubsetIsWidenedWhenFull(t *testing.T) {
 	endpoints := testEndpoints(210)
 	snap := testSnapshot(endpoints)
--- a/route/estimator.go
+++ b/route/estimator.go
@@ -7,13 +7,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// StageKey names what an Estimator keeps times of.
+// StageKey identifies the stage whose durations an Estimator keeps.
 type StageKey struct {
 	Pool  string
 	Stage string
 }
 
-// Estimate is one quantile as measured.
+// Estimate is a quantile of the recent durations.
 type Estimate struct {
 	Value time.Duration
 	// Age is the time since the latest sample.
@@ -22,22 +22,24 @@
 }
 
 const (
-	// windows of windowLength each are kept; older samples are dropped.
+	// windows is the number of windows kept, each windowLength long; older
+	// samples are dropped.
 	windows      = 4
 	windowLength = 5 * time.Second
-	// estimateMax is the longest time told apart from longer ones, in microseconds.
-	estimateMax = int64(10 * time.Minute / time.Microsecond)
+	// maxEstimateMicros is the longest duration recorded, in microseconds;
+	// longer ones are recorded as this value.
+	maxEstimateMicros = int64(10 * time.Minute / time.Microsecond)
 	// estimateDigits is the number of significant decimal digits kept.
 	estimateDigits = 1
-	// mergeEvery is how long the merged windows are used before they are
-	// merged again, which takes some microseconds.
-	mergeEvery = 100 * time.Millisecond
+	// mergeInterval is how long a merge of the windows is reused, because
+	// merging takes some microseconds.
+	mergeInterval = 100 * time.Millisecond
 )
 
-// Estimator keeps recent times of stages: how long an endpoint took. Waiting
-// at the agent is best left out, because admission adds the wait to be
-// expected from the present load and would count it twice. The times of each
-// stage are under their own lock and take about 20 KB, however many they are.
+// Estimator keeps the recent durations of stages: how long an endpoint duration.
+// Time queued at the agent is best left out: admission adds the wait expected
+// at the present load, so it would count twice. Each stage has its own lock and
+// takes about 20 KB, whatever the number of samples.
 type Estimator struct {
 	mu     sync.RWMutex
 	stages map[StageKey]*stageTimes
@@ -48,15 +50,15 @@
 	return &Estimator{stages: make(map[StageKey]*stageTimes)}
 }
 
-// Observe adds one time.
-func (s *Estimator) Observe(key StageKey, took time.Duration, now time.Time) {
+// Observe records one duration.
+func (s *Estimator) Observe(key StageKey, duration time.Duration, now time.Time) {
 	s.mu.RLock()
 	t := s.stages[key]
 	s.mu.RUnlock()
 	if t == nil {
 		t = s.add(key, now)
 	}
-	t.observe(took, now)
+	t.observe(duration, now)
 }
 
 func (s *Estimator) add(key StageKey, now time.Time) *stageTimes {
@@ -70,8 +72,8 @@
 	return t
 }
 
-// Quantile returns the q quantile, 0 to 1, of the recent times. Samples is
-// zero if there are none.
+// Quantile returns the quantile q, from 0 to 1, of the recent durations.
+// Samples is zero if there are none.
 func (s *Estimator) Quantile(key StageKey, q float64, now time.Time) Estimate {
 	s.mu.RLock()
 	t := s.stages[key]
@@ -82,46 +84,48 @@
 	return t.quantile(q, now)
 }
 
-// stageTimes is the recent times of one stage.
+// stageTimes holds the recent durations of one stage.
 type stageTimes struct {
 	mu       sync.Mutex
 	windowed *hdrhistogram.WindowedHistogram
-	// rotated is the start of the current window.
-	rotated time.Time
-	last    time.Time
-	// merged is all windows together, as of mergedAt; nil after a rotation.
+	// windowStart is the start of the current window.
+	windowStart time.Time
+	// lastSample is the time of the latest sample.
+	lastSample time.Time
+	// merged holds all windows merged at mergedAt; nil after a rotation.
 	merged   *hdrhistogram.Histogram
 	mergedAt time.Time
 }
 
 func newStageTimes(now time.Time) *stageTimes {
 	return &stageTimes{
-		windowed: hdrhistogram.NewWindowed(windows, 1, estimateMax, estimateDigits),
-		rotated:  now,
+		windowed:    hdrhistogram.NewWindowed(windows, 1, maxEstimateMicros, estimateDigits),
+		windowStart: now,
 	}
 }
 
-func (t *stageTimes) observe(took time.Duration, now time.Time) {
+func (t *stageTimes) observe(duration time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rotate(now)
-	micros := min(max(took.Microseconds(), 1), estimateMax)
+	micros := min(max(duration.Microseconds(), 1), maxEstimateMicros)
 	// A value in range is always recorded.
 	_ = t.windowed.Current.RecordValue(micros)
-	if now.After(t.last) {
-		t.last = now
+	if now.After(t.lastSample) {
+		t.lastSample = now
 	}
 }
 
+// rotate starts as many new windows as are due.
 func (t *stageTimes) rotate(now time.Time) {
-	due := int(now.Sub(t.rotated) / windowLength)
+	due := int(now.Sub(t.windowStart) / windowLength)
 	if due <= 0 {
 		return
 	}
 	for range min(due, windows) {
 		t.windowed.Rotate()
 	}
-	t.rotated = t.rotated.Add(time.Duration(due) * windowLength)
+	t.windowStart = t.windowStart.Add(time.Duration(due) * windowLength)
 	t.merged = nil
 }
 
@@ -129,7 +133,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.rotate(now)
-	if t.merged == nil || now.Sub(t.mergedAt) >= mergeEvery {
+	if t.merged == nil || now.Sub(t.mergedAt) >= mergeInterval {
 		t.merged = t.windowed.Merge()
 		t.mergedAt = now
 	}
@@ -138,5 +142,5 @@
 		return Estimate{}
 	}
 	value := time.Duration(t.merged.ValueAtQuantile(q*100)) * time.Microsecond
-	return Estimate{Value: value, Age: max(0, now.Sub(t.last)), Samples: samples}
+	return Estimate{Value: value, Age: max(0, now.Sub(t.lastSample)), Samples: samples}
 }
--- a/route/filter.go
+++ b/route/filter.go
@@ -20,8 +20,8 @@
 	kernel.Register(kernel.Module{ID: filterModel, New: func() any { return modelFilter{} }})
 }
 
-// availableFilter drops endpoints that are leaving or down. Their agents would
-// refuse the call, or take it and be unable to finish it.
+// availableFilter drops endpoints that are leaving, draining or down. Their
+// agents would refuse the call, or accept it and fail to finish it.
 type availableFilter struct{}
 
 // Keep implements Filter.
@@ -29,14 +29,14 @@
 	return e.available()
 }
 
-// excludeFilter drops endpoints that the request has already tried, unless they
-// were lost and are back.
+// excludeFilter drops endpoints to which the stage has already been sent,
+// unless they were lost and have reported since.
 type excludeFilter struct{}
 
 // Keep implements Filter.
 func (excludeFilter) Keep(q *Query, e *Endpoint) bool {
 	for _, t := range q.Request.Tried {
-		if t.Endpoint == e.Name && !t.returned(e) {
+		if t.Endpoint == e.Name && !t.reportedSinceLoss(e) {
 			return false
 		}
 	}
@@ -44,7 +44,7 @@
 }
 
 // freshFilter drops endpoints that have not reported since the request lost
-// others: they may have been lost together.
+// others, because they may have been lost at the same time.
 type freshFilter struct{}
 
 // Keep implements Filter.
@@ -52,8 +52,9 @@
 	return q.Request.HeardSince.IsZero() || e.ReportedAt.After(q.Request.HeardSince)
 }
 
-// modelFilter drops endpoints that report other models than the one needed.
-// An endpoint that has reported none is kept: its agent will refuse if need be.
+// modelFilter drops endpoints that report models, but not the one needed. An
+// endpoint that reports no models is kept: its agent refuses the call if the
+// model is missing.
 type modelFilter struct{}
 
 // Keep implements Filter.
--- a/route/health.go
+++ b/route/health.go
@@ -5,19 +5,23 @@
 	"time"
 )
 
-// CallOutcome is how one call to an endpoint ended, as far as its health goes.
+// CallOutcome is how a call to an endpoint ended, as far as the endpoint's
+// health is concerned.
 type CallOutcome uint8
 
 // The outcomes of a call.
 const (
-	// CallSucceeded means a complete result; its latency counts.
+	// CallSucceeded means that the call returned a complete result. Its latency
+	// is recorded.
 	CallSucceeded CallOutcome = iota
 	// CallFailed means that the endpoint ran the call and reported an error.
 	CallFailed
-	// CallLost means that the connection or the endpoint was lost.
+	// CallLost means that the connection or the endpoint was lost during the
+	// call.
 	CallLost
-	// CallRefused means that the agent refused before forwarding. It says
-	// nothing of the endpoint's health: a full or draining one is well.
+	// CallRefused means that the agent refused the call before forwarding it.
+	// It does not affect health: an endpoint that is full or draining is not
+	// faulty.
 	CallRefused
 )
 
@@ -25,40 +29,42 @@
 const (
 	// HealthFailing means that calls failed or were lost in a row.
 	HealthFailing = "failing"
-	// HealthStraggler means that calls took far longer than the pool's median.
+	// HealthStraggler means that calls duration far longer than the pool's median.
 	HealthStraggler = "straggler"
-	// HealthServed means that the time of the ejection is over.
-	HealthServed = "ejection_served"
-	// HealthRecovered means that the calls in probation went well.
+	// HealthEjectionExpired means that the time of the ejection is over.
+	HealthEjectionExpired = "ejection_served"
+	// HealthRecovered means that enough calls in probation succeeded at normal
+	// speed.
 	HealthRecovered = "recovered"
 )
 
-// Transition is a change of an endpoint's state, to be put into the snapshot and logged.
+// Transition is a change of an endpoint's state, to be applied to the snapshot
+// and logged.
 type Transition struct {
 	Pool     string
 	Endpoint string
 	From     State
 	To       State
 	Reason   string
-	// Until is the end of an ejection.
+	// Until is when an ejection ends; zero for other transitions.
 	Until time.Time
 }
 
-// Health judges endpoints by the outcomes of this entry's calls. It gives
-// StateLive, StateProbation or StateEjected; leaving is the membership's
-// word. The state of each pool is under its own lock.
+// Health tracks the health of endpoints from the outcomes of this entry's
+// calls. It sets StateLive, StateProbation or StateEjected; StateLeaving is set
+// by the membership. Each pool has its own lock.
 type Health struct {
 	mu    sync.RWMutex
 	pools map[string]*poolHealth
 }
 
-// NewHealth returns a Health that knows no endpoint.
+// NewHealth returns a Health without endpoints.
 func NewHealth() *Health {
 	return &Health{pools: make(map[string]*poolHealth)}
 }
 
-// SetMembers tells which endpoints a pool has. New ones are live; those that
-// are gone are forgotten.
+// SetMembers sets the endpoints of a pool. New ones start live; the health of
+// removed ones is dropped.
 func (h *Health) SetMembers(pool string, endpoints []string, now time.Time) {
 	p := h.pool(pool)
 	p.mu.Lock()
@@ -74,9 +80,10 @@
 	p.members = members
 }
 
-// Observe takes in the outcome of one call, with its time on the endpoint,
-// queue excluded. An endpoint that is no member is ignored.
-func (h *Health) Observe(pool, endpoint string, outcome CallOutcome, took time.Duration, now time.Time) []Transition {
+// Observe records the outcome of one call and its duration on the endpoint,
+// time in the queue excluded. It returns the transitions that follow. An
+// endpoint that is not a member is ignored.
+func (h *Health) Observe(pool, endpoint string, outcome CallOutcome, duration time.Duration, now time.Time) []Transition {
 	p := h.pool(pool)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,20 +92,20 @@
 		return nil
 	}
 	if outcome == CallSucceeded {
-		m.succeed(took)
-		if p.median > 0 && took.Seconds() <= p.slow() {
-			m.payOff()
+		m.recordSuccess(duration)
+		if p.median > 0 && duration.Seconds() <= p.stragglerThreshold() {
+			m.offsetOverdue()
 		}
-		p.measure(now)
+		p.updateMedian(now)
 	} else {
-		m.fail(outcome)
+		m.recordFailure(outcome)
 	}
-	return p.judge(endpoint, m, outcome, took, now)
+	return p.evaluate(endpoint, m, outcome, duration, now)
 }
 
-// Overdue takes in that a call has been running for OverdueAfter, as it was when
-// the call was sent, and is not finished. Each call is reported once, and only if
-// it did not have to wait at the agent.
+// Overdue records that a call is still running after OverdueAfter, as it was
+// when the call was sent. Callers report each call at most once, and only if it
+// did not have to queue at the agent.
 //
 // Waiting for the result would be too late: ten calls on an endpoint that is
 // ten times slower than the others are ten missed deadlines.
@@ -113,18 +120,18 @@
 	switch m.state {
 	case StateLive:
 		m.overdue++
-		return p.judgeLive(endpoint, m, CallSucceeded, now)
+		return p.evaluateLive(endpoint, m, CallSucceeded, now)
 	case StateProbation:
-		// The median may have risen since the call was sent. It has not come
-		// back, so it cannot count as one that went well.
+		// The median may have risen since the call was sent. The call has not
+		// returned, so it cannot count as a success.
 		return p.eject(endpoint, m, HealthStraggler, now)
 	default:
 		return nil
 	}
 }
 
-// OverdueAfter is the age from which a running call on the pool tells of a
-// straggler; zero while the pool's times are not known.
+// OverdueAfter returns the age from which a running call on the pool counts as
+// overdue; zero while the pool's median latency is not known.
 func (h *Health) OverdueAfter(pool string) time.Duration {
 	p := h.pool(pool)
 	p.mu.Lock()
@@ -132,19 +139,19 @@
 	if p.median == 0 {
 		return 0
 	}
-	return time.Duration(p.slow() * float64(time.Second))
+	return time.Duration(p.stragglerThreshold() * float64(time.Second))
 }
 
-// Tick makes the transitions that are due by time alone.
+// Tick makes and returns the transitions that are due by time alone.
 func (h *Health) Tick(now time.Time) []Transition {
 	var due []Transition
 	for _, p := range h.all() {
-		due = append(due, p.tick(now)...)
+		due = append(due, p.endEjections(now)...)
 	}
 	return due
 }
 
-// State returns the state of an endpoint; one that is no member is live.
+// State returns the state of an endpoint; StateLive if it is not a member.
 func (h *Health) State(pool, endpoint string) State {
 	p := h.pool(pool)
 	p.mu.Lock()
@@ -155,14 +162,14 @@
 	return StateLive
 }
 
-// Pardon forgets failures that have not led to an ejection. It is for a
-// process that was paused: on waking, calls to sound endpoints have timed
-// out, and the pause, not the endpoints, is to blame.
+// Pardon clears the failures and overdue calls that have not led to an
+// ejection. It is called after this process was paused: calls to healthy
+// endpoints have then timed out because of the pause.
 func (h *Health) Pardon() {
 	for _, p := range h.all() {
 		p.mu.Lock()
 		for _, m := range p.members {
-			m.pardon()
+			m.resetFailures()
 			m.overdue = 0
 		}
 		p.mu.Unlock()
--- a/route/health_pool.go
+++ b/route/health_pool.go
@@ -7,53 +7,57 @@
 )
 
 const (
-	// maxOut is the largest share of a pool that may be ejected or in
-	// probation at once. Ejecting more would send their load to the rest,
-	// which then slow down and are ejected in turn until none is left; half
-	// of the pool at double load still answers some calls.
-	maxOut = 0.5
-	// strikesLost and strikesFailed are what a lost and a failed call count
-	// in a row; strikesOut of them eject. A lost call more often means that
-	// the endpoint is gone, a failed one that the call was bad.
-	strikesLost   = 3
-	strikesFailed = 1
-	strikesOut    = 6
-	// stragglerFactor is how many times the pool's median an endpoint's
-	// latency must be to count as a straggler. The comparison is with the
-	// pool and not with a fixed time, so that load which slows all of the
-	// pool ejects nobody.
+	// maxEjectedShare is the largest share of a pool that may be ejected or in
+	// probation at once. Ejecting more would move their load to the others,
+	// which would slow down and be ejected in turn until none is left. Half of
+	// the pool at double load still answers some calls.
+	maxEjectedShare = 0.5
+	// lostWeight and failedWeight are what a lost and a failed call add to the
+	// failure score, which a success resets; an endpoint is ejected at
+	// failureThreshold. A lost call usually means that the endpoint is gone, a
+	// failed one that the call was bad.
+	lostWeight       = 3
+	failedWeight     = 1
+	failureThreshold = 6
+	// stragglerFactor is how many times the pool's median latency a straggler
+	// takes. The threshold is relative to the pool and not a fixed time, so
+	// that load which slows down the whole pool ejects no endpoint.
 	stragglerFactor = 3
-	// stragglerFloor keeps jitter of very short calls from ejecting anyone, in seconds.
-	stragglerFloor = 0.005
-	// stragglerSamples are needed to call an endpoint a straggler; a few
-	// suffice for one that is slower than twice the threshold.
-	stragglerSamples = 12
-	blatantSamples   = 4
-	// ejectionBase is the first ejection's time; each further one lasts twice
-	// as long, up to ejectionMax. An endpoint that keeps failing costs ever
-	// fewer calls; one that failed once is soon back.
+	// stragglerMargin is added to the threshold, in seconds, so that jitter of
+	// very short calls ejects no endpoint.
+	stragglerMargin = 0.005
+	// stragglerSamples is the number of samples needed to treat an endpoint as
+	// a straggler. extremeStragglerSamples are enough for one that is slower
+	// than twice the threshold.
+	stragglerSamples        = 12
+	extremeStragglerSamples = 4
+	// ejectionBase is the duration of the first ejection; each further one
+	// lasts twice as long, up to ejectionMax. So an endpoint that keeps failing
+	// costs fewer and fewer calls, and one that failed once is soon back.
 	ejectionBase = 2 * time.Second
 	ejectionMax  = time.Minute
-	// forgiveAfter is how long an endpoint must be live for its earlier
-	// ejections to be forgotten.
-	forgiveAfter = time.Minute
-	// probationCalls must succeed in a row, at usual speed, to end probation.
+	// ejectionResetAfter is how long an endpoint must have been live for its
+	// earlier ejections no longer to count.
+	ejectionResetAfter = time.Minute
+	// probationCalls is the number of calls that must succeed in a row, at
+	// normal speed, to end probation.
 	probationCalls = 3
-	// overdueOut is how many more calls must have become overdue than came back
-	// at usual speed to eject. An overdue call is evidence of its own: averaged
-	// with the pool's usual times, ages that are at first hardly more than the
-	// threshold would take seconds to pass it. Calls of usual speed pay it off,
-	// so that the few long calls of a sound endpoint, of which one comes among
-	// ten or twenty others, do not add up.
-	overdueOut = 4
-	// overdueHint is from when an endpoint counts as one with overdue calls when
-	// the question is whether most of the pool has them.
-	overdueHint = 2
+	// overdueThreshold is how far overdue calls must outnumber calls that
+	// returned at normal speed for an endpoint to be ejected. Overdue calls are
+	// counted apart from the average latency: their ages are at first hardly
+	// above the threshold, and averaged with the usual latencies they would
+	// take seconds to raise the average over it. Calls at normal speed are
+	// subtracted, so that the few long calls of a healthy endpoint, about one
+	// in ten or twenty, do not add up.
+	overdueThreshold = 4
+	// overduePoolThreshold is the number of overdue calls from which an
+	// endpoint counts as late when checking whether most of the pool is late.
+	overduePoolThreshold = 2
 	// latencyWeight is the weight of a new sample in the moving average.
 	latencyWeight = 0.2
-	// medianEvery is how long a pool's median latency is used before it is
+	// medianInterval is how long a pool's median latency is reused before it is
 	// computed again.
-	medianEvery = 100 * time.Millisecond
+	medianInterval = 100 * time.Millisecond
 )
 
 // poolHealth is the health of one pool.
@@ -61,8 +65,8 @@
 	mu      sync.Mutex
 	name    string
 	members map[string]*memberHealth
-	// median is of the latencies of measured live members, in seconds; zero
-	// if fewer than two are measured.
+	// median is the median latency of the live members with enough samples, in
+	// seconds; zero if there are fewer than two of them.
 	median   float64
 	medianAt time.Time
 }
@@ -73,34 +77,38 @@
 	// failed and lost count calls since the latest success.
 	failed int
 	lost   int
-	// latency is a moving average in seconds over samples calls.
+	// latency is the moving average over samples calls, in seconds.
 	latency float64
 	samples int
-	// overdue is the number of overdue calls less those that came at usual speed.
+	// overdue is the number of overdue calls less the calls that returned at
+	// normal speed since, never below zero.
 	overdue int
-	// ejections since the endpoint was last live for long.
+	// ejections counts ejections since the endpoint was last live for
+	// ejectionResetAfter.
 	ejections int
-	until     time.Time
+	// ejectedUntil is when the latest ejection ends.
+	ejectedUntil time.Time
+	// liveSince is when the endpoint last became live.
 	liveSince time.Time
-	// good counts successes in probation.
-	good int
+	// probationSuccesses counts successful calls in the current probation.
+	probationSuccesses int
 }
 
-func (m *memberHealth) succeed(took time.Duration) {
-	m.pardon()
-	m.measure(took)
+func (m *memberHealth) recordSuccess(duration time.Duration) {
+	m.resetFailures()
+	m.recordLatency(duration)
 }
 
-func (m *memberHealth) measure(took time.Duration) {
+func (m *memberHealth) recordLatency(duration time.Duration) {
 	m.samples++
 	if m.samples == 1 {
-		m.latency = took.Seconds()
+		m.latency = duration.Seconds()
 		return
 	}
-	m.latency += latencyWeight * (took.Seconds() - m.latency)
+	m.latency += latencyWeight * (duration.Seconds() - m.latency)
 }
 
-func (m *memberHealth) fail(outcome CallOutcome) {
+func (m *memberHealth) recordFailure(outcome CallOutcome) {
 	if outcome == CallLost {
 		m.lost++
 		return
@@ -108,26 +116,30 @@
 	m.failed++
 }
 
-func (m *memberHealth) pardon() {
+// resetFailures clears the failure score.
+func (m *memberHealth) resetFailures() {
 	m.failed, m.lost = 0, 0
 }
 
-// payOff sets a call of usual speed against one that was overdue.
-func (m *memberHealth) payOff() { m.overdue = max(0, m.overdue-1) }
+// offsetOverdue subtracts a call that returned at normal speed from the overdue
+// ones.
+func (m *memberHealth) offsetOverdue() { m.overdue = max(0, m.overdue-1) }
 
-func (m *memberHealth) strikes() int {
-	return m.lost*strikesLost + m.failed*strikesFailed
+// failureScore returns the weighted number of failures since the latest
+// success.
+func (m *memberHealth) failureScore() int {
+	return m.lost*lostWeight + m.failed*failedWeight
 }
 
-// measure computes the median anew from time to time.
-func (p *poolHealth) measure(now time.Time) {
-	if !p.medianAt.IsZero() && now.Sub(p.medianAt) < medianEvery {
+// updateMedian computes the median again if medianInterval has passed.
+func (p *poolHealth) updateMedian(now time.Time) {
+	if !p.medianAt.IsZero() && now.Sub(p.medianAt) < medianInterval {
 		return
 	}
 	p.medianAt = now
 	var latencies []float64
 	for _, m := range p.members {
-		if m.state == StateLive && m.samples >= blatantSamples {
+		if m.state == StateLive && m.samples >= extremeStragglerSamples {
 			latencies = append(latencies, m.latency)
 		}
 	}
@@ -136,43 +148,47 @@
 		return
 	}
 	slices.Sort(latencies)
-	// The lower median: of two endpoints, the slower is held against the faster.
+	// The lower median: of two endpoints, the slower is compared with the
+	// faster.
 	p.median = latencies[(len(latencies)-1)/2]
 }
 
-// slow is the latency in seconds above which an endpoint is a straggler.
-func (p *poolHealth) slow() float64 {
-	return p.median*stragglerFactor + stragglerFloor
+// stragglerThreshold is the latency in seconds above which an endpoint is a
+// straggler.
+func (p *poolHealth) stragglerThreshold() float64 {
+	return p.median*stragglerFactor + stragglerMargin
 }
 
-// judge changes the state of m after an outcome, if it must.
-func (p *poolHealth) judge(name string, m *memberHealth, outcome CallOutcome, took time.Duration, now time.Time) []Transition {
+// evaluate changes the state of m after a call if the outcome requires it.
+func (p *poolHealth) evaluate(name string, m *memberHealth, outcome CallOutcome, duration time.Duration, now time.Time) []Transition {
 	switch m.state {
 	case StateLive:
-		return p.judgeLive(name, m, outcome, now)
+		return p.evaluateLive(name, m, outcome, now)
 	case StateProbation:
-		return p.judgeProbation(name, m, outcome, took, now)
+		return p.evaluateProbation(name, m, outcome, duration, now)
 	default:
-		// Calls that were in flight at the ejection still come back.
+		// Calls that were in flight at the ejection may still return.
 		return nil
 	}
 }
 
-func (p *poolHealth) judgeLive(name string, m *memberHealth, outcome CallOutcome, now time.Time) []Transition {
-	if m.strikes() >= strikesOut && (outcome == CallLost || !p.allFailing()) {
+// evaluateLive ejects the live endpoint m if it fails or is too slow.
+func (p *poolHealth) evaluateLive(name string, m *memberHealth, outcome CallOutcome, now time.Time) []Transition {
+	if m.failureScore() >= failureThreshold && (outcome == CallLost || !p.mostFailing()) {
 		return p.eject(name, m, HealthFailing, now)
 	}
-	if p.straggles(m) || p.lags(m) {
+	if p.isStraggler(m) || p.hasTooManyOverdue(m) {
 		return p.eject(name, m, HealthStraggler, now)
 	}
 	return nil
 }
 
-// lags tells whether too many calls on m are overdue. If they are on most of
-// the others too, it is load that slows all of the pool: their median is late,
-// and ejecting some would only slow the rest.
-func (p *poolHealth) lags(m *memberHealth) bool {
-	if m.overdue < overdueOut {
+// hasTooManyOverdue tells whether m has too many overdue calls. It is false if
+// most of the other live endpoints are late too: then load slows down the whole
+// pool before its median has risen, and ejecting some endpoints would only slow
+// down the rest.
+func (p *poolHealth) hasTooManyOverdue(m *memberHealth) bool {
+	if m.overdue < overdueThreshold {
 		return false
 	}
 	others, late := 0, 0
@@ -181,72 +197,78 @@
 			continue
 		}
 		others++
-		if other.overdue >= overdueHint {
+		if other.overdue >= overduePoolThreshold {
 			late++
 		}
 	}
 	return 2*late <= others
 }
 
-// allFailing tells whether most of the pool reports errors. Then the calls
-// are to blame, or something behind all endpoints, and ejecting some of them
-// only loads the others. Lost calls are no such sign: an entry that is cut
-// off from two failure domains of three loses most of its calls, and does
-// well to eject as many as it may.
-func (p *poolHealth) allFailing() bool {
+// mostFailing tells whether most of the live endpoints report errors. Then the
+// calls are at fault, or something that all endpoints depend on, and ejecting
+// some endpoints would only load the others. Lost calls do not count: an entry
+// that is cut off from two failure domains of three loses most of its calls,
+// and should eject as many endpoints as it may.
+func (p *poolHealth) mostFailing() bool {
 	failing, live := 0, 0
 	for _, m := range p.members {
 		if m.state != StateLive {
 			continue
 		}
 		live++
-		if m.failed*strikesFailed >= strikesOut/2 {
+		if m.failed*failedWeight >= failureThreshold/2 {
 			failing++
 		}
 	}
 	return failing > 1 && failing > live/2
 }
 
-func (p *poolHealth) straggles(m *memberHealth) bool {
-	if p.median == 0 || m.latency <= p.slow() {
+// isStraggler tells whether the average latency of m is above the threshold,
+// over enough samples.
+func (p *poolHealth) isStraggler(m *memberHealth) bool {
+	if p.median == 0 || m.latency <= p.stragglerThreshold() {
 		return false
 	}
-	if m.latency > 2*p.slow() {
-		return m.samples >= blatantSamples
+	if m.latency > 2*p.stragglerThreshold() {
+		return m.samples >= extremeStragglerSamples
 	}
 	return m.samples >= stragglerSamples
 }
 
-func (p *poolHealth) judgeProbation(name string, m *memberHealth, outcome CallOutcome, took time.Duration, now time.Time) []Transition {
+// evaluateProbation ejects the endpoint again after a failed or slow call, and
+// makes it live after probationCalls good ones.
+func (p *poolHealth) evaluateProbation(name string, m *memberHealth, outcome CallOutcome, duration time.Duration, now time.Time) []Transition {
 	if outcome != CallSucceeded {
 		return p.eject(name, m, HealthFailing, now)
 	}
-	if p.median > 0 && took.Seconds() > p.slow() {
+	if p.median > 0 && duration.Seconds() > p.stragglerThreshold() {
 		return p.eject(name, m, HealthStraggler, now)
 	}
-	m.good++
-	if m.good < probationCalls {
+	m.probationSuccesses++
+	if m.probationSuccesses < probationCalls {
 		return nil
 	}
 	m.liveSince = now
-	return p.move(name, m, StateLive, HealthRecovered)
+	return p.transition(name, m, StateLive, HealthRecovered)
 }
 
+// eject ejects m, unless too much of the pool is already ejected or in
+// probation.
 func (p *poolHealth) eject(name string, m *memberHealth, reason string, now time.Time) []Transition {
 	if !p.mayEject(m) {
 		return nil
 	}
-	if m.state == StateLive && now.Sub(m.liveSince) >= forgiveAfter {
+	if m.state == StateLive && now.Sub(m.liveSince) >= ejectionResetAfter {
 		m.ejections = 0
 	}
-	m.until = now.Add(ejectionTime(m.ejections))
+	m.ejectedUntil = now.Add(ejectionTime(m.ejections))
 	m.ejections++
-	m.pardon()
-	m.samples, m.latency, m.good, m.overdue = 0, 0, 0, 0
-	return p.move(name, m, StateEjected, reason)
+	m.resetFailures()
+	m.samples, m.latency, m.probationSuccesses, m.overdue = 0, 0, 0, 0
+	return p.transition(name, m, StateEjected, reason)
 }
 
-// ejectionTime is how long the ejection after n earlier ones lasts.
+// ejectionTime returns how long an ejection lasts after n earlier ones.
 func ejectionTime(n int) time.Duration {
 	d := ejectionBase
 	for range n {
@@ -255,7 +277,7 @@
 	return d
 }
 
-// mayEject tells whether the pool can do without m, see maxOut.
+// mayEject tells whether ejecting m keeps the pool within maxEjectedShare.
 func (p *poolHealth) mayEject(m *memberHealth) bool {
 	out := 1
 	for _, other := range p.members {
@@ -263,28 +285,30 @@
 			out++
 		}
 	}
-	return float64(out) <= maxOut*float64(len(p.members))
+	return float64(out) <= maxEjectedShare*float64(len(p.members))
 }
 
-func (p *poolHealth) move(name string, m *memberHealth, to State, reason string) []Transition {
+// transition changes the state of m and returns the change.
+func (p *poolHealth) transition(name string, m *memberHealth, to State, reason string) []Transition {
 	t := Transition{Pool: p.name, Endpoint: name, From: m.state, To: to, Reason: reason}
 	if to == StateEjected {
-		t.Until = m.until
+		t.Until = m.ejectedUntil
 	}
 	m.state = to
 	return []Transition{t}
 }
 
-// tick ends the ejections that are over. The endpoint is not live at once: if
-// it is still bad, all of its share of the load would fail again.
-func (p *poolHealth) tick(now time.Time) []Transition {
+// endEjections puts endpoints whose ejection is over on probation. They are not
+// live at once: if such an endpoint is still faulty, all of its share of the
+// load would fail again.
+func (p *poolHealth) endEjections(now time.Time) []Transition {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var due []Transition
 	for name, m := range p.members {
-		if m.state == StateEjected && !now.Before(m.until) {
-			m.good = 0
-			due = append(due, p.move(name, m, StateProbation, HealthServed)...)
+		if m.state == StateEjected && !now.Before(m.ejectedUntil) {
+			m.probationSuccesses = 0
+			due = append(due, p.transition(name, m, StateProbation, HealthEjectionExpired)...)
 		}
 	}
 	return due
--- a/route/load.go
+++ b/route/load.go
@@ -3,18 +3,21 @@
 import "time"
 
 const (
-	// serviceUnknown stands for the service time of a pool that has reported none.
-	serviceUnknown = 20 * time.Millisecond
-	// reportTrusted is how long a reported service time is believed.
-	reportTrusted = 5 * time.Second
-	// reportForgotten is the age at which a reported service time counts for nothing.
-	reportForgotten = 30 * time.Second
-	// drainShare is the part of an endpoint's capacity assumed to work off a
-	// reported load; the rest is assumed to go to other entries' new calls.
-	drainShare = 0.5
+	// defaultService is the service time assumed for a pool that has reported
+	// none.
+	defaultService = 20 * time.Millisecond
+	// serviceFreshFor is how long a reported service time is used unchanged.
+	serviceFreshFor = 5 * time.Second
+	// serviceExpiresAfter is the age at which a reported service time is no
+	// longer used.
+	serviceExpiresAfter = 30 * time.Second
+	// loadDecayShare is the share of an endpoint's capacity assumed to work off
+	// its reported load; the rest is assumed to serve new calls of other
+	// entries.
+	loadDecayShare = 0.5
 )
 
-// capacity is how many calls e runs at once.
+// capacity returns how many calls e runs at once, at least one.
 func (e *Endpoint) capacity() float64 {
 	return float64(max(1, e.Report.Capacity))
 }
@@ -24,13 +27,13 @@
 	return e.State != StateLeaving && !e.Report.Draining && !e.Report.Down
 }
 
-// Busy tells whether a further call on e would have to wait for its turn.
+// Busy tells whether a further call on e would have to queue.
 func (e *Endpoint) Busy(now time.Time) bool {
-	service := e.service(now, serviceUnknown.Seconds())
+	service := e.service(now, defaultService.Seconds())
 	return e.load(now, service)+1 > e.capacity()
 }
 
-// ownInFlight is the number of this entry's calls on e.
+// ownInFlight returns the number of this entry's calls in flight on e.
 func (e *Endpoint) ownInFlight() int64 {
 	if e.Load == nil {
 		return 0
@@ -38,21 +41,24 @@
 	return e.Load.InFlight.Load()
 }
 
-// load is the number of calls believed to be on e or waiting for it.
+// load estimates the number of calls running on e or queued for it, given e's
+// service time in seconds.
 //
-// A report is late by the time since it was written. Two corrections hold the
-// failures that follow from it at bay. Sends since the report are added, or a
-// burst would all go to the endpoint that looked idle at its start; and the
-// sum is never below the entry's own calls in flight, which need no report.
-// A reported load shrinks as it ages, at a share of the endpoint's capacity:
-// an endpoint that once reported a long queue gets no calls and so sends no
-// newer report, and would otherwise be avoided for ever.
+// A report shows the load at the time when it was written. Two corrections make
+// up for its age. Calls sent since the report are added; without them a whole
+// burst would go to the endpoint that looked idle at its start. And the sum is
+// never below the entry's own calls in flight, which are known without a
+// report.
+//
+// A reported load shrinks as it ages, at a share of the endpoint's capacity.
+// Otherwise an endpoint that once reported a long queue would get no calls,
+// therefore send no newer report, and be avoided for ever.
 func (e *Endpoint) load(now time.Time, service float64) float64 {
 	reported := float64(e.Report.InFlight + e.Report.Queued)
 	if reported > 0 {
-		idle := now.Sub(e.ReportedAt).Seconds() - service
-		if idle > 0 && service > 0 {
-			reported = max(0, reported-drainShare*idle*e.capacity()/service)
+		decayTime := now.Sub(e.ReportedAt).Seconds() - service
+		if decayTime > 0 && service > 0 {
+			reported = max(0, reported-loadDecayShare*decayTime*e.capacity()/service)
 		}
 	}
 	if e.Load == nil {
@@ -62,35 +68,36 @@
 	return max(reported+sent, float64(e.Load.InFlight.Load()))
 }
 
-// service is the median time in seconds of a call on e, given the pool's.
+// service returns the median duration of a call on e in seconds. pool is the
+// pool's median, used if e has reported none.
 //
-// A reported median fades into the pool's as it ages. Otherwise an endpoint
-// that was slow once would be avoided, report nothing newer, and stay avoided.
+// A reported median gives way to the pool's as it ages. Otherwise an endpoint
+// that was slow once would be avoided, send no newer report, and stay avoided.
 func (e *Endpoint) service(now time.Time, pool float64) float64 {
 	if e.Report.P50 <= 0 {
 		return pool
 	}
 	own := e.Report.P50.Seconds()
 	age := now.Sub(e.ReportedAt)
-	if age <= reportTrusted {
+	if age <= serviceFreshFor {
 		return own
 	}
-	if age >= reportForgotten {
+	if age >= serviceExpiresAfter {
 		return pool
 	}
-	faded := float64(age-reportTrusted) / float64(reportForgotten-reportTrusted)
+	faded := float64(age-serviceFreshFor) / float64(serviceExpiresAfter-serviceFreshFor)
 	return own + (pool-own)*faded
 }
 
-// Free returns how many further calls the pool's endpoints would start at once,
-// and whether any of them would accept a call.
+// Free returns how many further calls the pool's endpoints would start without
+// queueing, and whether any of them would accept a call.
 func (p *Pool) Free(now time.Time) (free int, usable bool) {
 	for _, e := range p.Endpoints {
 		if !e.available() {
 			continue
 		}
 		usable = true
-		service := e.service(now, serviceUnknown.Seconds())
+		service := e.service(now, defaultService.Seconds())
 		free += max(0, int(e.capacity()-e.load(now, service)))
 	}
 	return free, usable
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -15,11 +15,11 @@
 		age                 time.Duration
 		want                float64
 	}{
-		"as reported":               {reported: 5, want: 5},
-		"sent since the report":     {reported: 5, sent: 3, want: 8},
-		"never below own in flight": {reported: 1, sent: 1, own: 6, want: 6},
-		"drains when no one asks":   {reported: 8, age: 1400 * time.Millisecond, want: 0},
-		"drains at half speed":      {reported: 16, age: 900 * time.Millisecond, want: 11},
+		"as reported":                 {reported: 5, want: 5},
+		"sent since the report":       {reported: 5, sent: 3, want: 8},
+		"never below own in flight":   {reported: 1, sent: 1, own: 6, want: 6},
+		"decays without new reports":  {reported: 8, age: 1400 * time.Millisecond, want: 0},
+		"decays at half the capacity": {reported: 16, age: 900 * time.Millisecond, want: 11},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -35,9 +35,9 @@
 func TestServiceFadesIntoThePool(t *testing.T) {
 	e := testEndpoints(1)[0]
 	e.Report.P50 = 4 * time.Second
-	assert.Equal(t, e.service(start.Add(reportTrusted), 0.4), 4.0)
-	assert.Equal(t, e.service(start.Add((reportTrusted+reportForgotten)/2), 0.4), 2.2)
-	assert.Equal(t, e.service(start.Add(reportForgotten), 0.4), 0.4)
+	assert.Equal(t, e.service(start.Add(serviceFreshFor), 0.4), 4.0)
+	assert.Equal(t, e.service(start.Add((serviceFreshFor+serviceExpiresAfter)/2), 0.4), 2.2)
+	assert.Equal(t, e.service(start.Add(serviceExpiresAfter), 0.4), 0.4)
 }
 
 func TestSubset(t *testing.T) {
--- a/route/occupancy.go
+++ b/route/occupancy.go
@@ -2,27 +2,31 @@
 
 import "time"
 
-// Occupancy is the load of a pool as an entry sees it. It is measured on the
-// endpoints that the entry prefers and scaled up to the pool.
+// Occupancy is the load of a pool as an entry sees it. It is measured on a
+// sample of the endpoints that the entry prefers and scaled up to the pool.
 type Occupancy struct {
-	// Endpoints that take work.
+	// Endpoints is the number of endpoints that take work.
 	Endpoints int
 	// Capacity is how many calls they run at once.
 	Capacity int
-	// InFlight and Queued are calls on the endpoints and waiting for them.
+	// InFlight and Queued are the calls running on the endpoints and queued for
+	// them.
 	InFlight int
 	Queued   int
-	// Service is the usual time of a call, queue excluded; zero if not reported.
+	// Service is the mean of the endpoints' median call durations, time in the
+	// queue excluded; zero if none is reported.
 	Service time.Duration
 }
 
-// occupancyMax is the most endpoints looked at, which bounds the time taken.
-const occupancyMax = 32
+// occupancySampleMax is the largest number of endpoints measured, which bounds
+// the time of a measurement.
+const occupancySampleMax = 32
 
-// Saturated tells whether a further call would have to wait.
+// Saturated tells whether a further call would have to queue.
 func (o Occupancy) Saturated() bool { return o.InFlight+o.Queued >= o.Capacity }
 
-// Wait is the time that a further call is expected to wait for its turn.
+// Wait returns how long a further call is expected to queue, given the service
+// time of a call.
 func (o Occupancy) Wait(service time.Duration) time.Duration {
 	if !o.Saturated() || o.Capacity == 0 {
 		return 0
@@ -31,10 +35,10 @@
 	return time.Duration(float64(service) * float64(ahead) / float64(o.Capacity))
 }
 
-// Occupancy returns the load of a pool; it is zero for an unknown one. Ejected
-// endpoints and those in probation are no capacity to count on, unless they
-// are all that there is: as a pool without endpoints it would be sent no
-// request, and they would have no chance to prove well.
+// Occupancy returns the load of a pool; zero for an unknown one. Ejected
+// endpoints and those in probation do not count as capacity unless the pool has
+// no live endpoint that takes work: a pool with no capacity would be sent no
+// requests, and its endpoints could never recover.
 func (s *Snapshot) Occupancy(pool string, now time.Time) Occupancy {
 	p := s.Pools[pool]
 	if p == nil {
@@ -47,29 +51,32 @@
 	return o
 }
 
-func (p *Pool) occupancy(now time.Time, counts func(e *Endpoint) bool) Occupancy {
+// occupancy measures the available endpoints for which include returns true.
+func (p *Pool) occupancy(now time.Time, include func(e *Endpoint) bool) Occupancy {
 	var sum occupancySum
-	looked := 0
-	for ; looked < len(p.Endpoints) && sum.endpoints < occupancyMax; looked++ {
-		if e := p.at(looked); counts(e) && e.available() {
+	examined := 0
+	for ; examined < len(p.Endpoints) && sum.endpoints < occupancySampleMax; examined++ {
+		if e := p.at(examined); include(e) && e.available() {
 			sum.add(e, now)
 		}
 	}
-	return sum.scale(len(p.Endpoints), looked)
+	return sum.scale(len(p.Endpoints), examined)
 }
 
-// occupancySum adds up endpoints.
+// occupancySum adds up the loads of endpoints.
 type occupancySum struct {
 	endpoints int
-	measured  int
-	capacity  float64
-	inFlight  float64
-	queued    float64
-	service   float64
+	// measured is the number of endpoints with a reported service time; service
+	// is the sum of those times in seconds.
+	measured int
+	capacity float64
+	inFlight float64
+	queued   float64
+	service  float64
 }
 
 func (s *occupancySum) add(e *Endpoint, now time.Time) {
-	service := serviceUnknown.Seconds()
+	service := defaultService.Seconds()
 	if e.Report.P50 > 0 {
 		service = e.Report.P50.Seconds()
 		s.service += service
@@ -82,12 +89,13 @@
 	s.queued += max(0, load-capacity)
 }
 
-func (s *occupancySum) scale(size, looked int) Occupancy {
+// scale extrapolates from the examined endpoints to a pool of the given size.
+func (s *occupancySum) scale(size, examined int) Occupancy {
 	var o Occupancy
-	if looked == 0 {
+	if examined == 0 {
 		return o
 	}
-	factor := float64(size) / float64(looked)
+	factor := float64(size) / float64(examined)
 	o.Endpoints = int(float64(s.endpoints) * factor)
 	o.Capacity = int(s.capacity * factor)
 	o.InFlight = int(s.inFlight * factor)
--- a/route/picker.go
+++ b/route/picker.go
@@ -18,9 +18,10 @@
 	}})
 }
 
-// roundRobinPicker takes the endpoints in turn and looks at no load.
+// roundRobinPicker uses the endpoints in rotation, regardless of their load.
 type roundRobinPicker struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// next is the index at which the next search starts, by pool name.
 	next map[string]int
 }
 
@@ -37,7 +38,7 @@
 			continue
 		}
 		p.next[q.Pool.Name] = at + 1
-		d.Endpoint, d.Candidates, d.Reason = endpoints[at], 1, ReasonTurn
+		d.Endpoint, d.Candidates, d.Reason = endpoints[at], 1, ReasonRoundRobin
 		return d
 	}
 	return d
--- a/route/plugin.go
+++ b/route/plugin.go
@@ -23,28 +23,30 @@
 	ErrUnknownPolicy = errs.NewType("unknown_policy")
 )
 
-// Query is one decision to be made. It is valid only during the call.
+// Query is the input of one decision. It is valid only during the call.
 type Query struct {
 	Snapshot *Snapshot
 	Pool     *Pool
 	Request  *Request
 	Now      time.Time
 	Rand     *rand.Rand
-	// prefixHome and identityHome are what the affinities prefer.
-	prefixHome   *Endpoint
-	identityHome *Endpoint
-	// sample is the scratch space of the picker.
+	// prefixEndpoint and identityEndpoint are the endpoints to which the
+	// request's prefix hash and its ID map; nil if there is none.
+	prefixEndpoint   *Endpoint
+	identityEndpoint *Endpoint
+	// sample is the picker's scratch space.
 	sample sample
 }
 
-// Candidate is an endpoint under consideration, with its load estimated once
-// for all scorers.
+// Candidate is an endpoint under consideration. Its load is estimated once for
+// all scorers.
 type Candidate struct {
 	Endpoint *Endpoint
-	// Load is the calls on the endpoint or waiting for it, Capacity how many run at once.
+	// Load is the number of calls running on the endpoint or queued for it;
+	// Capacity is how many it runs at once.
 	Load     float64
 	Capacity float64
-	// Service is the median time of a call, in seconds.
+	// Service is the median duration of a call, in seconds.
 	Service float64
 }
 
@@ -53,36 +55,38 @@
 	Keep(q *Query, e *Endpoint) bool
 }
 
-// Scorer estimates what choosing an endpoint costs, in seconds until the
-// answer; lower is better. The scores of all scorers are added.
+// Scorer estimates the cost of choosing an endpoint as seconds until the
+// answer; lower is better. The results of all scorers are added.
 type Scorer interface {
 	Score(q *Query, c *Candidate) float64
 }
 
-// Nominator is implemented by scorers that have an endpoint in mind which
-// must be among those compared. It returns nil for none.
+// Nominator is implemented by scorers that prefer a particular endpoint, so
+// that it is among those compared even if it is not sampled.
 type Nominator interface {
+	// Nominate returns the preferred endpoint, or nil if there is none.
 	Nominate(q *Query, chain *Chain) *Endpoint
 }
 
-// Picker chooses among the endpoints of the pool that every filter keeps.
+// Picker chooses among the endpoints of the pool that pass every filter.
 type Picker interface {
 	Pick(q *Query, chain *Chain) Decision
 }
 
-// Configurer is implemented by plug-ins that read parameters of the policy.
+// Configurer is implemented by plug-ins that take parameters from the policy.
 type Configurer interface {
 	Configure(policy bundle.Policy)
 }
 
-// Chain is the filters and scorers in force.
+// Chain is the filters and scorers of one policy.
 type Chain struct {
-	Filters    []Filter
-	Scorers    []Scorer
+	Filters []Filter
+	Scorers []Scorer
+	// Nominators are those of the scorers that implement Nominator.
 	Nominators []Nominator
 }
 
-// Keep tells whether every filter keeps e.
+// Keep tells whether e passes every filter.
 func (c *Chain) Keep(q *Query, e *Endpoint) bool {
 	for _, f := range c.Filters {
 		if !f.Keep(q, e) {
@@ -92,7 +96,7 @@
 	return true
 }
 
-// Score adds up the scorers.
+// Score returns the sum of all scorers, in seconds.
 func (c *Chain) Score(q *Query, candidate *Candidate) float64 {
 	var sum float64
 	for _, s := range c.Scorers {
@@ -101,14 +105,14 @@
 	return sum
 }
 
-// set names the plug-ins of one policy.
-type set struct {
+// pluginSet names the plug-ins of one policy.
+type pluginSet struct {
 	filters []kernel.ModuleID
 	scorers []kernel.ModuleID
 	picker  kernel.ModuleID
 }
 
-var sets = map[bundle.PolicyName]set{
+var pluginSets = map[bundle.PolicyName]pluginSet{
 	bundle.PolicyAdaptive: {
 		filters: []kernel.ModuleID{filterAvailable, filterExclude, filterFresh, filterModel},
 		scorers: []kernel.ModuleID{scorerWait, scorerLocality, scorerAffinity, scorerIdentity},
--- a/route/pool.go
+++ b/route/pool.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// subsetMin is the smallest subset: enough that losing a failure domain
-	// and ejecting stragglers still leaves a choice.
+	// subsetMin is the smallest subset: large enough to leave a choice when a
+	// failure domain is lost and stragglers are ejected.
 	subsetMin = 24
-	// subsetRedundancy is in how many entries' subsets each endpoint should be.
+	// subsetRedundancy is the number of entries whose subsets should include
+	// each endpoint.
 	subsetRedundancy = 4
 )
 
-// SubsetSize returns how many of a pool's endpoints each of the live entries
-// should prefer: each endpoint is then in about subsetRedundancy subsets, so
-// that uneven entries still load the pool evenly.
+// SubsetSize returns how many of a pool's endpoints each live entry should
+// prefer. Each endpoint is then in about subsetRedundancy subsets, so that the
+// pool is loaded evenly even if the entries are not.
 func SubsetSize(endpoints, entries int) int {
 	size := max(subsetMin, (subsetRedundancy*endpoints+entries-1)/max(1, entries))
 	return min(size, endpoints)
@@ -25,30 +26,34 @@
 
 // order is the order in which one entry prefers the members of a pool.
 type order struct {
-	ranks   []rank
+	// ranks lists the members, the most preferred first.
+	ranks []rank
+	// domains lists the failure domains of the members.
 	domains []string
-	index   map[string]int
+	// index maps an endpoint's name to its index in Pool.Endpoints.
+	index map[string]int
 }
 
-// rank is one endpoint's place in an order.
+// rank is one endpoint's position in an order.
 type rank struct {
-	// hash is of the endpoint's name.
+	// hash is the hash of the endpoint's name.
 	hash uint64
-	// index is into Pool.Endpoints, domain into order.domains.
+	// index is the endpoint's index in Pool.Endpoints; domain is an index into
+	// order.domains.
 	index  int32
 	domain int32
 }
 
-// NewPool returns a pool ordered for one entry, so that a decision need not
-// look at all of it. The endpoints are sorted by name.
+// NewPool returns a pool with the preference order of one entry, so that a
+// decision need not examine the whole pool. The endpoints are sorted by name.
 func NewPool(name, entry string, endpoints []*Endpoint) *Pool {
 	sorted := sortedByName(endpoints)
 	return &Pool{Name: name, Endpoints: sorted, order: newOrder(entry, sorted)}
 }
 
-// Refresh returns the pool with newer versions of its endpoints. While they
-// have the same names and failure domains, the order is shared and need not
-// be computed again, which for a large pool takes most of the time.
+// Refresh returns the pool with newer versions of its endpoints. While their
+// names and failure domains stay the same, the order is shared instead of
+// computed again, which for a large pool takes most of the time.
 func (p *Pool) Refresh(entry string, endpoints []*Endpoint) *Pool {
 	next := *p
 	next.Endpoints = sortedByName(endpoints)
@@ -66,8 +71,8 @@
 	return sorted
 }
 
-// Replace returns the pool with another version of one member; the members'
-// order is shared, not computed again. An endpoint that is no member is not added.
+// Replace returns the pool with another version of one member, sharing the
+// order. An endpoint that is not a member is not added.
 func (p *Pool) Replace(e *Endpoint) *Pool {
 	i, ok := p.position(e.Name)
 	if !ok {
@@ -79,7 +84,7 @@
 	return &next
 }
 
-// Endpoint returns the endpoint of that name, or nil.
+// Endpoint returns the endpoint with the given name, or nil.
 func (p *Pool) Endpoint(name string) *Endpoint {
 	i, ok := p.position(name)
 	if !ok {
@@ -88,6 +93,7 @@
 	return p.Endpoints[i]
 }
 
+// position returns the index of the named endpoint in p.Endpoints.
 func (p *Pool) position(name string) (int, bool) {
 	if p.order != nil {
 		i, ok := p.order.index[name]
@@ -122,8 +128,8 @@
 	return p.order.ranks[i].hash
 }
 
-// inDomain tells whether the i-th member in the entry's order is in the
-// failure domain, without touching the member itself.
+// inDomain tells whether the i-th member in the entry's order is in the failure
+// domain. With an order it does not access the member itself.
 func (p *Pool) inDomain(i int, domain string) bool {
 	if p.order == nil {
 		return p.Endpoints[i].Domain == domain
@@ -131,10 +137,10 @@
 	return p.order.domains[p.order.ranks[i].domain] == domain
 }
 
-// Subset returns the k endpoints that the entry prefers. It is the same
-// wherever it is computed, hardly changes when an endpoint comes or goes, is
-// spread evenly over failure domains, and differs between entries. A larger k
-// only adds endpoints, so a saturated subset can be widened.
+// Subset returns the k endpoints that the entry prefers. The result depends
+// only on the arguments, changes little when an endpoint is added or removed,
+// is spread evenly over failure domains, and differs between entries. A larger
+// k only adds endpoints, so that a saturated subset can be widened.
 func Subset(entry string, endpoints []*Endpoint, k int) []*Endpoint {
 	ranks := newOrder(entry, endpoints).ranks
 	subset := make([]*Endpoint, min(k, len(ranks)))
@@ -144,9 +150,10 @@
 	return subset
 }
 
-// newOrder ranks endpoints by rendezvous hash within each failure domain and
-// takes one of each domain in turn. Which domain comes first differs between
-// entries too, or the first domain would carry more when subsets are small.
+// newOrder ranks endpoints by rendezvous hash within each failure domain, then
+// takes one endpoint of each domain in rotation. The order of the domains
+// differs between entries too; otherwise the first domain would carry more load
+// when subsets are small.
 func newOrder(entry string, endpoints []*Endpoint) *order {
 	seed := xxhash.Sum64String(entry)
 	o := &order{index: make(map[string]int, len(endpoints))}
@@ -171,8 +178,8 @@
 	return o
 }
 
-// byWeight compares two hashes by their rendezvous weight for a seed, the
-// heavier first.
+// byWeight compares two hashes by their rendezvous weight for a seed; the
+// heavier sorts first.
 func byWeight(seed, a, b uint64) int {
 	x, y := mix(seed, a), mix(seed, b)
 	switch {
@@ -185,6 +192,7 @@
 	}
 }
 
+// interleave merges the groups by taking one rank of each in rotation.
 func interleave(groups [][]rank, total int) []rank {
 	ranks := make([]rank, 0, total)
 	for i := 0; len(ranks) < total; i++ {
@@ -197,8 +205,8 @@
 	return ranks
 }
 
-// mix combines two hashes into one that is uniform in both, with the
-// finaliser of MurmurHash3.
+// mix combines two hashes into one that is uniformly distributed in both, using
+// the finaliser of MurmurHash3.
 func mix(a, b uint64) uint64 {
 	h := a ^ (b * 0x9e3779b97f4a7c15)
 	h ^= h >> 33
--- a/route/route.go
+++ b/route/route.go
@@ -11,18 +11,19 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// State is what the membership says of an endpoint.
+// State is an endpoint's routing state, set by the membership and by Health.
 type State uint8
 
 // The endpoint states.
 const (
 	// StateLive endpoints take new work.
 	StateLive State = iota
-	// StateProbation endpoints take a trickle of work until they prove well.
+	// StateProbation endpoints take single calls until enough of these succeed.
 	StateProbation
-	// StateEjected endpoints take none unless too many others are ejected.
+	// StateEjected endpoints take no work, except for stages bound to them and
+	// when no endpoint in a better state is usable.
 	StateEjected
-	// StateLeaving endpoints take none.
+	// StateLeaving endpoints take no work.
 	StateLeaving
 )
 
@@ -33,7 +34,7 @@
 	StateLeaving:   "leaving",
 }
 
-// String returns the state's name in logs.
+// String returns the state's name as shown in logs.
 func (s State) String() string {
 	if int(s) >= len(stateNames) {
 		return "unknown"
@@ -41,38 +42,44 @@
 	return stateNames[s]
 }
 
-// Endpoint is one endpoint as the entry believes it to be.
+// Endpoint is an endpoint as one entry sees it. It is not changed once it is in
+// a snapshot, except for Load.
 type Endpoint struct {
-	Name   string
-	Pool   string
+	Name string
+	Pool string
+	// Domain is the endpoint's failure domain.
 	Domain string
-	// Away is why a leaving endpoint takes no work.
+	// Away is why an endpoint in StateLeaving takes no work; empty if not
+	// known.
 	Away Away
-	// Report is the latest from its agent; zero until the first.
-	Report     wire.AgentReport
+	// Report is the latest report from the endpoint's agent; zero before the
+	// first.
+	Report wire.AgentReport
+	// ReportedAt is when this entry received Report.
 	ReportedAt time.Time
 	State      State
-	// Sent and Finished count this entry's own calls; they are shared by all
-	// snapshots of the endpoint and corrected for the report's lag.
+	// Load counts this entry's own calls to the endpoint. All snapshots of the
+	// endpoint share it; with it the report's load is corrected for the
+	// report's age.
 	Load *Load
 }
 
-// Tried is an endpoint that a request's stage has been sent to.
+// Tried is an endpoint to which a request's stage has already been sent.
 type Tried struct {
 	Endpoint string
-	// LostAt is when the endpoint, or the way to it, was found to be lost; zero
-	// if it answered. An endpoint that has reported since may have restarted,
-	// so it is worth another attempt.
+	// LostAt is when the endpoint, or the connection to it, was found to be
+	// lost; zero if the endpoint answered. An endpoint that has reported since
+	// may have restarted, so it may be tried again.
 	LostAt time.Time
 }
 
-// returned tells whether e has been heard of since it was lost.
-func (t Tried) returned(e *Endpoint) bool {
+// reportedSinceLoss tells whether e was lost and has sent a report since.
+func (t Tried) reportedSinceLoss(e *Endpoint) bool {
 	return !t.LostAt.IsZero() && e.ReportedAt.After(t.LostAt)
 }
 
-// Load counts one entry's own calls to an endpoint. It is updated without
-// rebuilding the snapshot.
+// Load counts one entry's own calls to an endpoint. It is updated in place,
+// without a new snapshot.
 type Load struct {
 	// InFlight is the number of this entry's calls without a reply.
 	InFlight atomic.Int64
@@ -81,26 +88,29 @@
 }
 
 // Pool is the endpoints of one pool, in a fixed order. Build it with NewPool,
-// which also orders it for one entry; without that order each decision costs
-// more and all entries prefer the same endpoints.
+// which also computes the order in which one entry prefers them. Without that
+// order each decision costs more and all entries prefer the same endpoints.
 type Pool struct {
 	Name      string
 	Endpoints []*Endpoint
-	// Subset is how many endpoints the entry prefers; see SubsetSize. Zero
-	// stands for subsetMin.
+	// Subset is the number of endpoints that the entry prefers; see SubsetSize.
+	// Zero means subsetMin.
 	Subset int
-	// order is shared by all versions of the pool with the same members.
+	// order is the entry's preference order. All versions of the pool with the
+	// same members share it.
 	order *order
 }
 
 // Snapshot is an immutable view of all pools.
 type Snapshot struct {
-	At     time.Time
+	At time.Time
+	// Domain is the entry's own failure domain.
 	Domain string
-	Pools  map[string]*Pool
+	// Pools holds the pools by name.
+	Pools map[string]*Pool
 }
 
-// Request is what a decision needs to know.
+// Request is what a decision needs to know of a request.
 type Request struct {
 	ID       string
 	Stage    string
@@ -108,30 +118,38 @@
 	Account  string
 	Model    string
 	Priority int
-	// AffinityHash groups requests that share a prompt prefix; zero for none.
+	// AffinityHash is equal for requests that share a prompt prefix; zero means
+	// no affinity.
 	AffinityHash uint64
 	// Remaining is the time left before the request's deadline.
 	Remaining time.Duration
-	// Tried lists the endpoints that the stage has been sent to.
+	// Tried lists the endpoints to which the stage has been sent.
 	Tried []Tried
-	// HeardSince leaves only endpoints that have reported after it; zero for any.
+	// HeardSince restricts the choice to endpoints whose latest report arrived
+	// after it; zero means no restriction.
 	HeardSince time.Time
-	// Only restricts the choice to one endpoint, for bound stages; empty for any.
+	// Only restricts the choice to one endpoint, for stages bound to it; empty
+	// means any endpoint.
 	Only string
 }
 
 // Decision is the outcome of one choice, as logged.
 type Decision struct {
+	// Endpoint is the chosen endpoint; nil if none may be used.
 	Endpoint *Endpoint
 	// Candidates is the number of endpoints that passed the filters and were
-	// compared; a decision looks at a sample of a large pool.
+	// compared; in a large pool, only a sample is compared.
 	Candidates int
-	// Considered is the size of the pool.
+	// Considered is the number of endpoints to choose from: the size of the
+	// pool, or one for a bound stage.
 	Considered int
-	Reason     string
-	// MayReturn: none was chosen, and one that is away now could serve the request.
+	// Reason is one of the Reason constants.
+	Reason string
+	// MayReturn is true if no endpoint was chosen, but one that is unusable now
+	// could serve the request later.
 	MayReturn bool
-	// Unusable says why, of some endpoints of the pool, when none was chosen.
+	// Unusable explains why endpoints of the pool may not be used, for at most
+	// maxUnusable of them. It is set only if no endpoint was chosen.
 	Unusable []Unusable
 }
 
--- a/route/router.go
+++ b/route/router.go
@@ -11,29 +11,35 @@
 
 // Reasons given in a Decision.
 const (
-	// ReasonLocal means the best compared, in the entry's own failure domain.
+	// ReasonLocal means that the best candidate is in the entry's own failure
+	// domain.
 	ReasonLocal = "local"
-	// ReasonRemote means the best compared, in another failure domain.
+	// ReasonRemote means that the best candidate is in another failure domain.
 	ReasonRemote = "remote"
-	// ReasonAffinity means the best compared, which calls with this prefix go to.
+	// ReasonAffinity means that the best candidate is the endpoint to which the
+	// request's prefix maps.
 	ReasonAffinity = "affinity"
-	// ReasonWidened means that those of the subset were full and one beyond was better.
+	// ReasonWidened means that the candidates of the subset were full and one
+	// drawn from the whole pool was better.
 	ReasonWidened = "widened"
-	// ReasonProbation means that the call tries out an endpoint in probation.
+	// ReasonProbation means that the call probes an endpoint in probation.
 	ReasonProbation = "probation"
-	// ReasonLastResort means that no live endpoint was left.
+	// ReasonLastResort means that no live endpoint was usable, so one in
+	// probation or ejected was chosen.
 	ReasonLastResort = "last_resort"
-	// ReasonTurn means that it was the endpoint's turn.
-	ReasonTurn = "round_robin"
+	// ReasonRoundRobin means that the endpoint was next in the rotation.
+	ReasonRoundRobin = "round_robin"
 	// ReasonBound means that the stage is bound to the endpoint.
 	ReasonBound = "bound"
-	// ReasonBoundUnavailable means that the stage is bound to an endpoint that may not be used.
+	// ReasonBoundUnavailable means that the stage is bound to an endpoint that
+	// may not be used.
 	ReasonBoundUnavailable = "bound_unavailable"
 	// ReasonUnknownPool means that the snapshot has no such pool.
 	ReasonUnknownPool = "unknown_pool"
 	// ReasonNone means that the pool has no endpoint that may be used.
 	ReasonNone = "none_available"
-	// ReasonAllTried means that none is left but, at most, those already tried.
+	// ReasonAllTried means that no endpoint may be used and some have already
+	// been tried.
 	ReasonAllTried = "all_tried"
 )
 
@@ -41,13 +47,15 @@
 type router struct {
 	chain  Chain
 	picker Picker
-	// queries holds *Query, so that a decision allocates nothing.
+	// queries holds *Query values for reuse, so that a decision allocates
+	// nothing.
 	queries sync.Pool
 }
 
-// NewRouter returns a router made of the plug-ins of the policy's name.
+// NewRouter returns a router with the plug-ins of the policy. The error is
+// ErrUnknownPolicy if there is no policy of that name.
 func NewRouter(policy bundle.Policy) (Router, error) {
-	s, ok := sets[policy.Name]
+	s, ok := pluginSets[policy.Name]
 	if !ok {
 		return nil, ErrUnknownPolicy.New("no routing policy %q", policy.Name)
 	}
@@ -78,7 +86,7 @@
 	return r, nil
 }
 
-// load returns a plug-in, configured.
+// load returns a plug-in, configured from the policy.
 func load[T any](id kernel.ModuleID, policy bundle.Policy) (T, error) {
 	module, err := kernel.Load[T](id)
 	if err != nil {
@@ -98,7 +106,7 @@
 	}
 	q := r.queries.Get().(*Query)
 	q.Snapshot, q.Pool, q.Request, q.Now, q.Rand = snap, pool, req, now, rng
-	q.prefixHome, q.identityHome = nil, nil
+	q.prefixEndpoint, q.identityEndpoint = nil, nil
 	var d Decision
 	if req.Only != "" {
 		d = r.pickBound(q)
@@ -106,15 +114,15 @@
 		d = r.picker.Pick(q, &r.chain)
 	}
 	if d.Endpoint == nil {
-		d.Unusable, d.MayReturn = r.chain.unusable(q), mayReturn(q)
+		d.Unusable, d.MayReturn = r.chain.unusable(q), mayBecomeUsable(q)
 	}
 	q.release()
 	r.queries.Put(q)
 	return d
 }
 
-// pickBound gives the endpoint that the request is bound to. Ejection is no
-// obstacle: the stage may run there or nowhere.
+// pickBound returns the endpoint to which the request is bound. An ejected
+// endpoint is used too, because the stage cannot run anywhere else.
 func (r *router) pickBound(q *Query) Decision {
 	d := Decision{Considered: 1, Reason: ReasonBoundUnavailable}
 	e := q.Pool.Endpoint(q.Request.Only)
@@ -125,10 +133,11 @@
 	return d
 }
 
-// release drops what q refers to, so that a pooled query keeps no snapshot alive.
+// release clears the references that q holds, so that a reused query keeps no
+// snapshot alive.
 func (q *Query) release() {
 	clear(q.sample.candidates[:q.sample.size])
 	q.sample.size, q.sample.probe = 0, nil
 	q.Snapshot, q.Pool, q.Request, q.Rand = nil, nil, nil, nil
-	q.prefixHome, q.identityHome = nil, nil
+	q.prefixEndpoint, q.identityEndpoint = nil, nil
 }
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -74,7 +74,7 @@
 			change: func(e []*Endpoint) { e[0].Report.InFlight, e[1].Report.InFlight = 7, 8 },
 			req:    Request{Pool: "llm"}, name: "llm-0002", reason: ReasonRemote,
 		},
-		"stays when all are as crowded": {
+		"stays local when all are as full": {
 			change: func(e []*Endpoint) {
 				for i := range e {
 					e[i].Report.InFlight = 7
@@ -95,11 +95,11 @@
 			},
 			req: Request{Pool: "llm"}, name: "llm-0002", reason: ReasonRemote,
 		},
-		"probation trickle": {
+		"probation probe": {
 			change: func(e []*Endpoint) { e[1].State = StateProbation },
 			req:    Request{Pool: "llm", Remaining: 4 * time.Second}, name: "llm-0001", reason: ReasonProbation,
 		},
-		"no trickle without slack": {
+		"no probe without slack": {
 			change: func(e []*Endpoint) { e[1].State = StateProbation },
 			req:    Request{Pool: "llm", Remaining: time.Second}, name: "llm-0000", reason: ReasonLocal,
 		},
@@ -121,7 +121,7 @@
 				test.change(endpoints)
 			}
 			r := newTestRouter(t, bundle.PolicyAdaptive)
-			// Enough draws with this seed to meet each of three endpoints.
+			// With this seed the draws reach each of the three endpoints.
 			d := r.Pick(testSnapshot(endpoints), &test.req, start, rand.New(rand.NewPCG(1, 3)))
 			assert.Equal(t, d.Reason, test.reason)
 			if test.name == "" {
@@ -133,7 +133,7 @@
 	}
 }
 
-// drawEndpoints makes a pool in any state.
+// drawEndpoints returns a pool of endpoints in random states.
 func drawEndpoints(t *rapid.T) []*Endpoint {
 	endpoints := testEndpoints(rapid.IntRange(0, 60).Draw(t, "size"))
 	for _, e := range endpoints {
@@ -150,7 +150,8 @@
 	return endpoints
 }
 
-// TestPickAgainstFullScan compares each decision with a look at every endpoint.
+// TestPickAgainstFullScan checks each decision against an examination of every
+// endpoint.
 func TestPickAgainstFullScan(t *testing.T) {
 	for _, policy := range []bundle.PolicyName{bundle.PolicyAdaptive, bundle.PolicyNaive} {
 		t.Run(string(policy), func(t *testing.T) {
@@ -206,6 +207,7 @@
 	}
 }
 
+// mayUse tells, without the filters, whether e may be used for the request.
 func mayUse(e *Endpoint, req *Request) bool {
 	silent := !req.HeardSince.IsZero() && !req.HeardSince.Before(e.ReportedAt)
 	if e.State == StateLeaving || e.Report.Down || e.Report.Draining || silent {
@@ -220,8 +222,8 @@
 	return true
 }
 
-// checkBest repeats the decision with its sample left in place, and holds the
-// choice against plain arithmetic on each candidate.
+// checkBest repeats the decision on a query whose sample is kept, and checks
+// that no candidate has a lower plainScore than the chosen endpoint.
 func checkBest(t *rapid.T, r *router, snap *Snapshot, req *Request, d Decision, seed uint64) {
 	q := &Query{Snapshot: snap, Pool: snap.Pools["llm"], Request: req, Now: start, Rand: rand.New(rand.NewPCG(seed, 1))}
 	again := r.picker.Pick(q, &r.chain)
@@ -244,7 +246,7 @@
 	}
 }
 
-// plainScore is the score written down in one place, without plug-ins.
+// plainScore computes the score in one place, without plug-ins.
 func plainScore(q *Query, e *Endpoint, pool float64) float64 {
 	service := pool
 	age := start.Sub(e.ReportedAt).Seconds()
@@ -265,10 +267,10 @@
 		score += crossing
 	}
 	score += crossing * min(1, max(0, busy-0.75)*4)
-	if e == q.prefixHome && busy <= 1 {
+	if e == q.prefixEndpoint && busy <= 1 {
 		score -= service / 2
 	}
-	if e == q.identityHome {
+	if e == q.identityEndpoint {
 		score -= service / 20
 	}
 	return score
--- a/route/sample.go
+++ b/route/sample.go
@@ -3,19 +3,21 @@
 import "time"
 
 const (
-	// drawn is how many endpoints of the subset are drawn at random. Two are
-	// enough to keep the longest queue short; always taking the best of all
+	// subsetDraws is how many endpoints of the subset are drawn at random. Two
+	// are enough to keep the longest queue short; always taking the best of all
 	// would send every entry to the same endpoint until the next report.
-	drawn = 2
-	// drawnWide is how many more are drawn from the whole pool if all of the
-	// subset that was looked at is full.
-	drawnWide = 4
-	// triesPerDraw bounds the draws that meet endpoints out of use.
+	subsetDraws = 2
+	// poolDraws is how many more are drawn from the whole pool if the best
+	// candidate of the subset is full.
+	poolDraws = 4
+	// triesPerDraw bounds how often a draw is repeated when it finds an
+	// unusable endpoint.
 	triesPerDraw = 4
-	// sampleMax is one for each nominator, one of the own failure domain and the draws.
+	// sampleMax is large enough for one candidate per nominator, one in the
+	// entry's own failure domain, and the draws.
 	sampleMax = 12
-	// probeSlack is how many times its expected time a call must have left
-	// before it is risked on an endpoint in probation.
+	// probeSlack is how many times its expected duration a call must have left
+	// before it is sent to an endpoint in probation.
 	probeSlack = 4
 )
 
@@ -23,13 +25,14 @@
 type sample struct {
 	candidates [sampleMax]Candidate
 	size       int
-	// probe is an idle endpoint in probation that was met on the way.
+	// probe is an idle endpoint in probation found while sampling; nil if there
+	// is none.
 	probe *Endpoint
 }
 
-// samplePicker takes the best of a few endpoints: those that the scorers
-// nominate, one of the own failure domain, and some at random. Its time does
-// not depend on the size of the pool while most of the pool is in use.
+// samplePicker chooses the best of a few endpoints: those that the scorers
+// nominate, one in the entry's own failure domain, and some at random. Its cost
+// does not depend on the size of the pool while most of the pool is usable.
 type samplePicker struct{}
 
 // Pick implements Picker.
@@ -46,7 +49,7 @@
 		}
 	}
 	s.drawLocal(q, chain)
-	s.draw(q, chain, drawn, q.Pool.subset())
+	s.draw(q, chain, subsetDraws, q.Pool.subset())
 	if s.size == 0 {
 		s.scan(q, chain, StateLive)
 	}
@@ -60,12 +63,14 @@
 	return Decision{Endpoint: best, Candidates: s.size, Considered: size, Reason: reason}
 }
 
-// add puts e into the sample if it takes ordinary work.
+// add adds e to the sample and returns true if e is live, passes the filters
+// and is not yet in it. A usable idle endpoint in probation becomes the probe
+// instead.
 func (s *sample) add(q *Query, chain *Chain, e *Endpoint) bool {
 	if e.State == StateProbation && s.probe == nil && e.ownInFlight() == 0 && chain.Keep(q, e) {
 		s.probe = e
 	}
-	if e.State != StateLive || s.size == sampleMax || s.holds(e) || !chain.Keep(q, e) {
+	if e.State != StateLive || s.size == sampleMax || s.contains(e) || !chain.Keep(q, e) {
 		return false
 	}
 	s.candidates[s.size] = Candidate{Endpoint: e}
@@ -73,7 +78,7 @@
 	return true
 }
 
-func (s *sample) holds(e *Endpoint) bool {
+func (s *sample) contains(e *Endpoint) bool {
 	for i := range s.size {
 		if s.candidates[i].Endpoint == e {
 			return true
@@ -82,7 +87,8 @@
 	return false
 }
 
-// drawLocal adds one endpoint of the entry's own failure domain.
+// drawLocal adds one endpoint of the entry's own failure domain, if a few draws
+// from the subset find one.
 func (s *sample) drawLocal(q *Query, chain *Chain) {
 	size := q.Pool.subset()
 	for range 2 * triesPerDraw {
@@ -96,7 +102,8 @@
 	}
 }
 
-// draw adds up to want endpoints of the first size in the entry's order.
+// draw adds up to want endpoints, drawn from the first size in the entry's
+// order.
 func (s *sample) draw(q *Query, chain *Chain, want, size int) {
 	for range want * triesPerDraw {
 		if want == 0 {
@@ -108,14 +115,15 @@
 	}
 }
 
-// scan looks at the whole pool, from a random place, for a few endpoints in
-// the state. It is for pools that are mostly out of use, where draws miss.
+// scan searches the whole pool, from a random position, for a few usable
+// endpoints in the given state. It is for pools of which most is unusable,
+// where random draws find too few.
 func (s *sample) scan(q *Query, chain *Chain, state State) {
 	size := len(q.Pool.Endpoints)
 	start := q.Rand.IntN(size)
 	for i := range size {
 		e := q.Pool.at((start + i) % size)
-		if e.State != state || s.holds(e) || !chain.Keep(q, e) {
+		if e.State != state || s.contains(e) || !chain.Keep(q, e) {
 			if e.State == StateProbation {
 				s.add(q, chain, e)
 			}
@@ -123,32 +131,33 @@
 		}
 		s.candidates[s.size] = Candidate{Endpoint: e}
 		s.size++
-		if s.size > drawn {
+		if s.size > subsetDraws {
 			return
 		}
 	}
 }
 
-// best returns the candidate with the lowest score. If even that one is full,
-// it draws some more from the whole pool: the subset is widened before calls queue.
+// best returns the candidate with the lowest score and the reason for it. If
+// even that one is full, more candidates are drawn from the whole pool: the
+// subset is widened before calls queue.
 func (s *sample) best(q *Query, chain *Chain) (*Endpoint, string) {
 	s.estimate(q)
 	best := s.lowest(q, chain)
 	widened := false
 	if c := &s.candidates[best]; c.Load >= c.Capacity {
-		within := s.size
-		s.draw(q, chain, drawnWide, len(q.Pool.Endpoints))
+		fromSubset := s.size
+		s.draw(q, chain, poolDraws, len(q.Pool.Endpoints))
 		// The usual service time follows from all candidates, so the scores
 		// of the earlier ones may have changed as well.
 		s.estimate(q)
 		best = s.lowest(q, chain)
-		widened = best >= within
+		widened = best >= fromSubset
 	}
 	e := s.candidates[best].Endpoint
 	switch {
 	case widened:
 		return e, ReasonWidened
-	case e == q.prefixHome:
+	case e == q.prefixEndpoint:
 		return e, ReasonAffinity
 	case e.Domain == q.Snapshot.Domain:
 		return e, ReasonLocal
@@ -157,7 +166,7 @@
 	}
 }
 
-// lowest returns the index of the lowest score.
+// lowest returns the index of the candidate with the lowest score.
 func (s *sample) lowest(q *Query, chain *Chain) int {
 	best, lowest := 0, chain.Score(q, &s.candidates[0])
 	for i := 1; i < s.size; i++ {
@@ -168,8 +177,8 @@
 	return best
 }
 
-// estimate fills in the load and service time of the candidates. Endpoints
-// without a measured time count like the others.
+// estimate fills in the load and service time of the candidates. For endpoints
+// without a reported service time it uses the mean of the others.
 func (s *sample) estimate(q *Query) {
 	var sum float64
 	known := 0
@@ -179,7 +188,7 @@
 			known++
 		}
 	}
-	pool := serviceUnknown.Seconds()
+	pool := defaultService.Seconds()
 	if known > 0 {
 		pool = sum / float64(known)
 	}
@@ -188,26 +197,29 @@
 	}
 }
 
-// estimate fills in c from its endpoint, given the pool's service time in seconds.
+// estimate fills in c from its endpoint, given the pool's service time in
+// seconds.
 func (c *Candidate) estimate(now time.Time, pool float64) {
 	c.Service = c.Endpoint.service(now, pool)
 	c.Load = c.Endpoint.load(now, c.Service)
 	c.Capacity = c.Endpoint.capacity()
 }
 
-// mayProbe tells whether the call can be risked on an endpoint in probation:
-// it is a first attempt, and has time for another should this one fail. With
-// at most one such call in flight, an endpoint that is still slow takes few.
+// mayProbe tells whether the call may be sent to an endpoint in probation: it
+// is a first attempt, and has time for another one should this one fail. With
+// at most one such call in flight, an endpoint that is still slow gets few
+// calls.
 func mayProbe(q *Query, e *Endpoint) bool {
 	if len(q.Request.Tried) > 0 {
 		return false
 	}
-	service := e.service(q.Now, serviceUnknown.Seconds())
+	service := e.service(q.Now, defaultService.Seconds())
 	return q.Request.Remaining.Seconds() >= probeSlack*service
 }
 
-// lastResort is for pools without a live endpoint. One in probation or
-// ejected may still answer, and a request that is refused certainly fails.
+// lastResort chooses from a pool without a usable live endpoint. An endpoint in
+// probation or ejected may still answer, whereas a request that is refused
+// certainly fails.
 func lastResort(q *Query, chain *Chain) Decision {
 	s := &q.sample
 	d := Decision{Considered: len(q.Pool.Endpoints)}
--- a/route/scorer.go
+++ b/route/scorer.go
@@ -24,12 +24,13 @@
 }
 
 // contention is how much longer a call takes on a full endpoint than on an idle
-// one, as a share of the service time: batches share an engine, and each newcomer's
-// prompt holds up all of them. Set too low, the small preferences for a near or a
-// known endpoint pile calls on some engines while others have room.
+// one, as a share of the service time: calls of a batch share an engine, and
+// the prompt of each new call delays all others. If it is too low, the small
+// preferences for a nearby or previously used endpoint pile up calls on some
+// engines while others have room.
 const contention = 1.5
 
-// waitScorer is the expected time on the endpoint, queue included.
+// waitScorer scores the expected time on the endpoint, queue included.
 type waitScorer struct{}
 
 // Score implements Scorer.
@@ -40,42 +41,45 @@
 }
 
 const (
-	// crossDomain is the round trip between failure domains.
-	crossDomain = 2 * time.Millisecond
-	// crossRisk is the share of a call's time charged besides: a call that
-	// crosses failure domains is lost when either is cut off.
-	crossRisk = 0.05
-	// spillFrom is the share of an endpoint's capacity above which it loses
-	// the advantage of being near, fully so when it is full.
-	spillFrom = 0.75
+	// crossDomainRoundTrip is the round-trip time between failure domains.
+	crossDomainRoundTrip = 2 * time.Millisecond
+	// crossDomainRisk is the share of a call's service time added to the round
+	// trip: a call that crosses failure domains is lost when either of them is
+	// cut off.
+	crossDomainRisk = 0.05
+	// spillThreshold is the share of an endpoint's capacity above which the
+	// preference for the entry's own failure domain begins to fade; it is gone
+	// when the endpoint is full.
+	spillThreshold = 0.75
 )
 
-// localityScorer charges for crossing failure domains, and as much for
-// endpoints that are nearly full. So a call leaves the failure domain before
-// the queues in it grow, but not if it is as crowded elsewhere.
+// localityScorer adds a cost for crossing failure domains, and up to the same
+// cost for endpoints that are nearly full. So calls leave the failure domain
+// before queues grow in it, but not if the endpoints elsewhere are as full.
 type localityScorer struct{}
 
 // Score implements Scorer.
 func (localityScorer) Score(q *Query, c *Candidate) float64 {
-	charge := crossDomain.Seconds() + crossRisk*c.Service
+	cost := crossDomainRoundTrip.Seconds() + crossDomainRisk*c.Service
 	var sum float64
 	if c.Endpoint.Domain != q.Snapshot.Domain {
-		sum += charge
+		sum += cost
 	}
-	if busy := (c.Load + 1) / c.Capacity; busy > spillFrom {
-		sum += charge * min(1, (busy-spillFrom)/(1-spillFrom))
+	if busy := (c.Load + 1) / c.Capacity; busy > spillThreshold {
+		sum += cost * min(1, (busy-spillThreshold)/(1-spillThreshold))
 	}
 	return sum
 }
 
-// affinityScorer prefers the endpoint that calls with the same prefix go to,
-// by the time that the cached prefix saves: the policy's Affinity as a share
-// of the service time, as long as it has a place free.
+// affinityScorer prefers the endpoint to which the request's prefix maps while
+// it has free capacity. The bonus is the time saved by the cached prefix: the
+// policy's Affinity as a share of the service time.
 //
-// The choice is a rendezvous hash and not what the engines' cache events say:
-// those come late and with gaps, and an entry that trusts them sends calls to
-// where the prefix no longer is, and forgets where it is.
+// The endpoint follows from a rendezvous hash and not from the engines' cache
+// events. Those arrive late and with gaps; an entry that relied on them would
+// send calls to engines that no longer hold the prefix, and miss those that do.
 type affinityScorer struct {
+	// share is the policy's Affinity, limited to the range from 0 to 1.
 	share float64
 }
 
@@ -86,9 +90,9 @@
 
 // Score implements Scorer.
 func (s *affinityScorer) Score(q *Query, c *Candidate) float64 {
-	// In a full engine's queue the call would wait longer than the prefix saves, and
-	// so would those behind it.
-	if c.Endpoint != q.prefixHome || c.Load+1 > c.Capacity {
+	// In the queue of a full engine the call would wait longer than the prefix
+	// saves, and so would the calls behind it.
+	if c.Endpoint != q.prefixEndpoint || c.Load+1 > c.Capacity {
 		return 0
 	}
 	return -s.share * c.Service
@@ -99,12 +103,13 @@
 	if q.Request.AffinityHash == 0 || s.share == 0 {
 		return nil
 	}
-	q.prefixHome = q.home(chain, q.Request.AffinityHash)
-	return q.prefixHome
+	q.prefixEndpoint = q.rendezvous(chain, q.Request.AffinityHash)
+	return q.prefixEndpoint
 }
 
-// identityShare is worth about one more call on the endpoint: the preference
-// decides between endpoints that are equal otherwise.
+// identityShare is the bonus as a share of the service time. It is worth about
+// one more call on the endpoint, so that it decides only between endpoints that
+// are otherwise equal.
 const identityShare = 0.05
 
 // identityScorer prefers the same endpoint for the same request ID, so that a
@@ -113,7 +118,7 @@
 
 // Score implements Scorer.
 func (identityScorer) Score(q *Query, c *Candidate) float64 {
-	if c.Endpoint != q.identityHome {
+	if c.Endpoint != q.identityEndpoint {
 		return 0
 	}
 	return -identityShare * c.Service
@@ -124,6 +129,6 @@
 	if q.Request.ID == "" {
 		return nil
 	}
-	q.identityHome = q.home(chain, xxhash.Sum64String(q.Request.ID))
-	return q.identityHome
+	q.identityEndpoint = q.rendezvous(chain, xxhash.Sum64String(q.Request.ID))
+	return q.identityEndpoint
 }
--- a/route/unusable.go
+++ b/route/unusable.go
@@ -6,45 +6,50 @@
 	"time"
 )
 
-// unusableShown bounds the endpoints of which a decision without a choice tells.
-const unusableShown = 8
+// maxUnusable bounds the endpoints listed in Decision.Unusable.
+const maxUnusable = 8
 
-// Away is why the membership gives an endpoint no work.
+// Away is why an endpoint in StateLeaving takes no work.
 type Away string
 
-// The reasons for being away.
+// The reasons for StateLeaving.
 const (
-	// AwayLeaving means that the list says that it leaves.
+	// AwayLeaving means that the endpoint's VM is leaving, according to the
+	// platform's list or its own process.
 	AwayLeaving Away = "leaving"
-	// AwayUnreachable means that there is no connection to its agent.
+	// AwayUnreachable means that there is no connection to the endpoint's
+	// agent.
 	AwayUnreachable Away = "unreachable"
-	// AwayDraining means that its agent finishes its calls and takes no more.
+	// AwayDraining means that the agent finishes its calls and takes no more.
 	AwayDraining Away = "draining"
-	// AwayUnready means that its agent holds no bundle yet.
+	// AwayUnready means that the agent holds no bundle yet.
 	AwayUnready Away = "without bundle"
 )
 
-// Reasons given in an Unusable beside those for being away.
+// Further reasons given in an Unusable.
 const (
 	// UnusableDown means that the endpoint does not answer its agent.
 	UnusableDown = "down"
-	// UnusableTried means that the stage was sent there and it has not come back since.
+	// UnusableTried means that the stage was already sent to the endpoint,
+	// which answered or has not reported since it was lost.
 	UnusableTried = "tried"
-	// UnusableSilent means that it has not reported since others were lost.
-	UnusableSilent = "not heard of"
-	// UnusableModel means that it has other models.
-	UnusableModel = "model missing"
+	// UnusableNotReported means that the endpoint has not reported since the
+	// request lost others.
+	UnusableNotReported = "not heard of"
+	// UnusableModelMissing means that the endpoint does not have the model.
+	UnusableModelMissing = "model missing"
 )
 
-// Unusable says why an endpoint was not chosen.
+// Unusable explains why an endpoint may not be used.
 type Unusable struct {
 	Endpoint string
 	Reason   string
-	// ReportAge is the age of the endpoint's latest report; negative if there is none.
+	// ReportAge is the age of the endpoint's latest report; negative if there
+	// is none.
 	ReportAge time.Duration
 }
 
-// String returns what logs show of u.
+// String returns u as shown in logs.
 func (u Unusable) String() string {
 	if u.ReportAge < 0 {
 		return fmt.Sprintf("%s: %s, no report", u.Endpoint, u.Reason)
@@ -52,11 +57,11 @@
 	return fmt.Sprintf("%s: %s, report %v old", u.Endpoint, u.Reason, u.ReportAge.Round(time.Millisecond))
 }
 
-// unusable explains a decision without a choice.
+// unusable explains a decision without a chosen endpoint.
 func (c *Chain) unusable(q *Query) []Unusable {
 	var list []Unusable
 	for _, e := range q.Pool.Endpoints {
-		if len(list) == unusableShown {
+		if len(list) == maxUnusable {
 			break
 		}
 		if c.Keep(q, e) || !q.Request.allows(e) {
@@ -71,24 +76,25 @@
 	return list
 }
 
-// mayReturn tells whether an endpoint that is away now could serve the request
-// once it is back. One that answered would fail it again, and one that leaves
-// does not come back.
-func mayReturn(q *Query) bool {
+// mayBecomeUsable tells whether an endpoint that is unusable now could serve
+// the request later. An endpoint that answered is excluded, because it would
+// fail the request again; so is one that is leaving, because it does not come
+// back.
+func mayBecomeUsable(q *Query) bool {
 	return slices.ContainsFunc(q.Pool.Endpoints, func(e *Endpoint) bool {
 		return e.Away != AwayLeaving && q.Request.allows(e) && !q.Request.answeredBy(e) && (modelFilter{}).Keep(q, e)
 	})
 }
 
-// allows tells whether the stage may run on e, or is bound to another.
+// allows tells whether the stage may run on e: it is not bound, or bound to e.
 func (r *Request) allows(e *Endpoint) bool { return r.Only == "" || r.Only == e.Name }
 
-// answeredBy tells whether the stage was sent to e, which answered.
+// answeredBy tells whether the stage was sent to e and e answered.
 func (r *Request) answeredBy(e *Endpoint) bool {
 	return slices.ContainsFunc(r.Tried, func(t Tried) bool { return t.Endpoint == e.Name && t.LostAt.IsZero() })
 }
 
-// unusableFor names the first reason for which e is not given the request.
+// unusableFor returns the first reason why e may not be used for the request.
 func (e *Endpoint) unusableFor(q *Query) string {
 	switch {
 	case e.State == StateLeaving && e.Away != "":
@@ -100,8 +106,8 @@
 	case !(excludeFilter{}).Keep(q, e):
 		return UnusableTried
 	case !(freshFilter{}).Keep(q, e):
-		return UnusableSilent
+		return UnusableNotReported
 	default:
-		return UnusableModel
+		return UnusableModelMissing
 	}
 }
--- a/route/unusable_test.go
+++ b/route/unusable_test.go
@@ -11,8 +11,9 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Guards against a decision without a choice of which the log does not say why,
-// and against requests that wait for endpoints which cannot serve them any more.
+// Guards against a decision without an endpoint that does not explain why in
+// the log, and against requests that wait for endpoints which can no longer
+// serve them.
 func TestDecisionWithoutAChoiceSaysWhy(t *testing.T) {
 	lost := start.Add(-10 * time.Millisecond)
 	tests := map[string]struct {
@@ -48,8 +49,8 @@
 	}
 }
 
-// Guards against an endpoint that is never tried again though it has restarted
-// since it was lost.
+// Guards against never retrying an endpoint that has restarted since it was
+// lost.
 func TestLostEndpointIsTriedOnceItReports(t *testing.T) {
 	e := &Endpoint{Name: "e", Pool: "llm", ReportedAt: start}
 	req := &Request{Pool: "llm", Tried: []Tried{{Endpoint: "e", LostAt: start.Add(-time.Millisecond)}}}
