--- a/limit/account.go
+++ b/limit/account.go
@@ -9,22 +9,23 @@
 	"github.com/mangostage/mangostage/bundle"
 )
 
-// holdUnknown stands for the time a request is in flight, if nothing is known.
-const holdUnknown = 100 * time.Millisecond
+// defaultServiceTime is the service time assumed for a request if none is
+// known.
+const defaultServiceTime = 100 * time.Millisecond
 
-// accountLimit is one entry's part of one account's limit.
+// accountLimit enforces one entry's part of one account's limit.
 type accountLimit struct {
-	bucket   *rate.Limiter
-	inFlight int
-	turns    turns
+	bucket        *rate.Limiter
+	inFlight      int
+	retrySchedule retrySchedule
 }
 
 func newAccountLimit(limit bundle.Limit, liveEntries int) *accountLimit {
 	return &accountLimit{bucket: rate.NewLimiter(perSecond(limit, liveEntries), burst(limit, liveEntries))}
 }
 
-// adjust follows a change of the limit or of the number of live entries. The
-// tokens in the bucket stay, so that a change fills no bucket.
+// adjust applies a change of the limit or of the number of live entries. The
+// tokens in the bucket stay as they are, so that a change does not refill it.
 func (l *accountLimit) adjust(now time.Time, limit bundle.Limit, liveEntries int) {
 	if r := perSecond(limit, liveEntries); l.bucket.Limit() != r {
 		l.bucket.SetLimitAt(now, r)
@@ -34,7 +35,8 @@
 	}
 }
 
-// perSecond is one entry's part of the rate; an account without one is unlimited.
+// perSecond returns one entry's part of the rate; an account without a rate is
+// unlimited.
 func perSecond(limit bundle.Limit, liveEntries int) rate.Limit {
 	if limit.RequestsPerSecond <= 0 {
 		return rate.Inf
@@ -42,63 +44,69 @@
 	return rate.Limit(limit.RequestsPerSecond / float64(max(1, liveEntries)))
 }
 
+// burst returns one entry's part of the burst.
 func burst(limit bundle.Limit, liveEntries int) int {
-	return part(max(1, limit.Burst), liveEntries)
+	return entryPart(max(1, limit.Burst), liveEntries)
 }
 
-// part is one entry's part of a whole number, rounded up.
-func part(whole, liveEntries int) int {
+// entryPart returns one entry's part of a whole number, rounded up.
+func entryPart(whole, liveEntries int) int {
 	n := max(1, liveEntries)
 	return (whole + n - 1) / n
 }
 
-// take takes a token and a place, or tells when to come back.
-func (l *accountLimit) take(now time.Time, limit bundle.Limit, liveEntries int, hold time.Duration) (time.Duration, bool) {
+// acquire takes a token and a place in flight and returns true, or returns how
+// long the caller should wait before it retries.
+func (l *accountLimit) acquire(now time.Time, limit bundle.Limit, liveEntries int, serviceTime time.Duration) (time.Duration, bool) {
 	l.adjust(now, limit, liveEntries)
-	if places := part(limit.InFlight, liveEntries); limit.InFlight > 0 && l.inFlight >= places {
-		if hold <= 0 {
-			hold = holdUnknown
+	if maxInFlight := entryPart(limit.InFlight, liveEntries); limit.InFlight > 0 && l.inFlight >= maxInFlight {
+		if serviceTime <= 0 {
+			serviceTime = defaultServiceTime
 		}
-		gap := hold / time.Duration(places)
-		return l.turns.next(now, gap, gap), false
+		gap := serviceTime / time.Duration(maxInFlight)
+		return l.retrySchedule.reserve(now, gap, gap), false
 	}
 	reservation := l.bucket.ReserveN(now, 1)
 	if wait := reservation.DelayFrom(now); wait > 0 {
 		reservation.CancelAt(now)
-		return l.turns.next(now, wait, interval(l.bucket.Limit())), false
+		return l.retrySchedule.reserve(now, wait, tokenInterval(l.bucket.Limit())), false
 	}
 	l.inFlight++
 	return 0, true
 }
 
-// interval is the time in which one token flows in.
-func interval(limit rate.Limit) time.Duration {
+// tokenInterval returns the time in which one token is added, at most
+// maxRetrySpread; zero for an unlimited rate.
+func tokenInterval(limit rate.Limit) time.Duration {
 	if limit == rate.Inf || limit <= 0 {
 		return 0
 	}
-	return time.Duration(math.Min(float64(time.Second)/float64(limit), float64(maxTurn)))
+	return time.Duration(math.Min(float64(time.Second)/float64(limit), float64(maxRetrySpread)))
 }
 
-// maxTurn bounds how far ahead turns are given out.
-const maxTurn = 5 * time.Second
+// maxRetrySpread bounds how far the retries of refused callers are spread out.
+const maxRetrySpread = 5 * time.Second
 
-// turns spreads callers that are sent away over the time to come. Told the
-// same time, they would all be back at once and all but one be refused again.
-type turns struct {
-	free time.Time
+// retrySchedule spreads the retries of refused callers over time. If all were
+// told the same time, they would all return at once and all but one be refused
+// again.
+type retrySchedule struct {
+	// nextFree is the earliest time not yet given to a caller.
+	nextFree time.Time
 }
 
-// next returns how long from now the next free turn is: not before wait, and
-// one gap after the one given out before. Callers that never come back leave
-// their turns unused, so no turn is further away than wait and maxTurn.
-func (t *turns) next(now time.Time, wait, gap time.Duration) time.Duration {
+// reserve gives out the next free time and returns how long the caller should
+// wait for it: at least wait, and until one gap after the time given out
+// before. Callers that never return leave their times unused, so no wait is
+// longer than wait plus maxRetrySpread.
+func (t *retrySchedule) reserve(now time.Time, wait, gap time.Duration) time.Duration {
 	at := now.Add(wait)
-	if t.free.After(at) {
-		at = t.free
+	if t.nextFree.After(at) {
+		at = t.nextFree
 	}
-	if latest := now.Add(wait + maxTurn); at.After(latest) {
+	if latest := now.Add(wait + maxRetrySpread); at.After(latest) {
 		at = latest
 	}
-	t.free = at.Add(gap)
+	t.nextFree = at.Add(gap)
 	return at.Sub(now)
 }
--- a/limit/adaptive.go
+++ b/limit/adaptive.go
@@ -18,11 +18,12 @@
 	})
 }
 
-// shardCount is the number of locks that accounts are spread over.
+// shardCount is the number of shards, each with its own lock, that the accounts
+// are spread over.
 const shardCount = 32
 
-// adaptive enforces each account's part of its limit, and fair shares of
-// saturated pools. Its locks are never held together.
+// adaptive enforces one entry's part of each account's limit, and the shares of
+// saturated pools. It never holds two of its locks at once.
 type adaptive struct {
 	shards [shardCount]shard
 	mu     sync.RWMutex
@@ -43,31 +44,33 @@
 	return a
 }
 
-// Admit implements Limiter. The fair share is asked first: it can be given
-// back, while a token that was taken for nothing is gone.
+// Admit implements Limiter. The pool's share is checked first, because it can
+// be given back, whereas a token taken for a request that is then refused is
+// lost.
 func (a *adaptive) Admit(now time.Time, account *bundle.Account, liveEntries int, demand Demand) Verdict {
 	pool := a.pool(demand.Pool)
-	if after, ok := pool.take(now, account, liveEntries, demand); !ok {
+	if after, ok := pool.acquire(now, account, liveEntries, demand); !ok {
 		return Verdict{Reason: api.ReasonOverloaded, RetryAfter: after}
 	}
-	if after, ok := a.shard(account.Name).take(now, account, liveEntries, demand.Hold); !ok {
-		pool.done(account.Name, now, true)
+	if after, ok := a.shard(account.Name).acquire(now, account, liveEntries, demand.Hold); !ok {
+		pool.release(account.Name, now, true)
 		return Verdict{Reason: api.ReasonRateLimited, RetryAfter: after}
 	}
-	return Verdict{OK: true, Ahead: pool.ahead(account.Priority)}
+	return Verdict{OK: true, Ahead: pool.aheadShare(account.Priority)}
 }
 
 // Done implements Limiter.
 func (a *adaptive) Done(account *bundle.Account, pool string, now time.Time) {
-	a.pool(pool).done(account.Name, now, false)
-	a.shard(account.Name).done(account.Name)
+	a.pool(pool).release(account.Name, now, false)
+	a.shard(account.Name).release(account.Name)
 }
 
 func (a *adaptive) shard(account string) *shard {
 	return &a.shards[xxhash.Sum64String(account)%shardCount]
 }
 
-// pool returns the shares of a pool. There are as many as bundles have named.
+// pool returns the shares of a pool. Pools are never removed; there are as many
+// as bundles have named.
 func (a *adaptive) pool(name string) *fairPool {
 	a.mu.RLock()
 	p := a.pools[name]
@@ -84,7 +87,7 @@
 	return p
 }
 
-func (s *shard) take(now time.Time, account *bundle.Account, liveEntries int, hold time.Duration) (time.Duration, bool) {
+func (s *shard) acquire(now time.Time, account *bundle.Account, liveEntries int, serviceTime time.Duration) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.accounts[account.Name]
@@ -92,10 +95,10 @@
 		l = newAccountLimit(account.Limit, liveEntries)
 		s.accounts[account.Name] = l
 	}
-	return l.take(now, account.Limit, liveEntries, hold)
+	return l.acquire(now, account.Limit, liveEntries, serviceTime)
 }
 
-func (s *shard) done(account string) {
+func (s *shard) release(account string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l := s.accounts[account]; l != nil && l.inFlight > 0 {
--- a/limit/ahead_test.go
+++ b/limit/ahead_test.go
@@ -10,9 +10,9 @@
 	"github.com/mangostage/mangostage/route"
 )
 
-// In a storm households fill the queue and an emergency desk asks. Its call
-// passes them at every agent, so their calls are not ahead of it; of its own
-// kind and of what is above it, all are.
+// Guards against counting calls of lower priorities as ahead of a request. At
+// every agent a request of high priority passes them; only calls of the same or
+// a higher priority are ahead of it.
 func TestAheadCountsNoLowerPriorities(t *testing.T) {
 	limiter, err := New(bundle.Policy{Name: bundle.PolicyAdaptive})
 	assert.NilError(t, err)
--- a/limit/fair.go
+++ b/limit/fair.go
@@ -10,63 +10,66 @@
 )
 
 const (
-	// activeWindow is how long an account that stopped asking keeps its claim
-	// to a share; afterwards others may use it until it asks again.
+	// activeWindow is how long an account that no longer sends requests keeps
+	// its share; afterwards others may use it until the account sends again.
 	activeWindow = time.Second
-	// idleAfter is when an account without calls in flight is forgotten.
+	// idleAfter is the time after which an account without calls in flight is
+	// removed from the table.
 	idleAfter = time.Minute
-	// lowerReserve is the part of the slots that each priority leaves to
-	// lower ones that ask. Without it a flood at a high priority would stop
-	// all others, and they could not even tell that the system lives.
-	lowerReserve = 0.1
-	// flightCheck is how many times its slots an entry may have in flight
-	// before it counts the pool as saturated whatever the reports say: they
-	// are late, and requests in earlier stages are in none of them.
-	flightCheck = 2
+	// lowerPriorityReserve is the share of the slots that each priority leaves
+	// to lower ones that ask for slots. Without it a flood at a high priority
+	// would stop all others, which could not even tell that the system is up.
+	lowerPriorityReserve = 0.1
+	// saturationFactor is how many times its slots an entry may have in flight
+	// before it treats the pool as saturated, whatever the endpoints report:
+	// reports are late, and they do not include requests that are still in
+	// earlier stages.
+	saturationFactor = 2
 )
 
-// fairPool divides one entry's part of a pool among accounts.
+// fairPool divides one entry's part of a pool's capacity among accounts.
 type fairPool struct {
 	mu       sync.Mutex
 	claims   map[string]*claim
 	inFlight int
-	pruned   time.Time
-	// order is scratch space for divide.
-	order []*claim
+	prunedAt time.Time
+	// scratch is reused by each call of divide.
+	scratch []*claim
 }
 
-// claim is one account's use of the pool.
+// claim is one account's demand for slots of the pool, and its use of them.
 type claim struct {
 	weight   float64
 	priority int
 	inFlight int
-	// peak and last are the most calls that the account wanted in flight in
-	// the current window and the one before.
-	peak        int
-	last        int
-	windowStart time.Time
-	seen        time.Time
-	// share is the number of slots given by the latest divide.
-	share float64
-	turns turns
+	// peak and previousPeak are the largest numbers of calls that the account
+	// wanted in flight in the current window and in the one before.
+	peak         int
+	previousPeak int
+	windowStart  time.Time
+	lastSeen     time.Time
+	// share is the number of slots that the latest divide gave to the account.
+	share         float64
+	retrySchedule retrySchedule
 }
 
 func newFairPool() *fairPool {
 	return &fairPool{claims: make(map[string]*claim)}
 }
 
-// take takes a place for the account, or tells when to come back.
-func (p *fairPool) take(now time.Time, account *bundle.Account, liveEntries int, demand Demand) (time.Duration, bool) {
+// acquire takes a slot for the account and returns true, or returns how long
+// the caller should wait before it retries.
+func (p *fairPool) acquire(now time.Time, account *bundle.Account, liveEntries int, demand Demand) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.prune(now)
 	c := p.claim(account, now)
-	c.want(c.inFlight+1, now)
+	c.recordDemand(c.inFlight+1, now)
 	slots := demand.slots(liveEntries)
 	if p.saturated(demand, slots) {
 		p.divide(slots, now)
 		if float64(c.inFlight) >= c.share {
-			return c.wait(now, demand), false
+			return c.retryAfter(now, demand), false
 		}
 	}
 	c.inFlight++
@@ -74,8 +77,9 @@
 	return 0, true
 }
 
-// ahead is the share of the calls in flight that have the priority or a higher one.
-func (p *fairPool) ahead(priority int) float64 {
+// aheadShare returns the share of the calls in flight that have at least the
+// given priority; 1 if none are in flight.
+func (p *fairPool) aheadShare(priority int) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.inFlight == 0 {
@@ -90,8 +94,8 @@
 	return float64(before) / float64(p.inFlight)
 }
 
-// saturated tells whether shares are in force. A pool of unknown capacity is
-// left to admission.
+// saturated tells whether shares are enforced. A pool of unknown capacity is
+// left to the admission check.
 func (p *fairPool) saturated(demand Demand, slots float64) bool {
 	if demand.Occupancy.Capacity == 0 {
 		return false
@@ -99,13 +103,15 @@
 	if demand.saturated() {
 		return true
 	}
-	// Without Hold the slots are of one stage, the calls in flight of all.
-	return demand.Hold > 0 && float64(p.inFlight) >= flightCheck*slots
+	// If the service time of the whole request is not known, the slots count
+	// calls of one stage but inFlight counts requests in all stages, so the two
+	// cannot be compared.
+	return demand.Hold > 0 && float64(p.inFlight) >= saturationFactor*slots
 }
 
-// done gives a place back. A canceled one was never used, and does not show
-// that the account wants as much.
-func (p *fairPool) done(account string, now time.Time, canceled bool) {
+// release gives a slot back. If canceled is true, the slot was never used, and
+// does not count as the account's activity.
+func (p *fairPool) release(account string, now time.Time, canceled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.claims[account]
@@ -115,10 +121,12 @@
 	c.inFlight--
 	p.inFlight--
 	if !canceled {
-		c.seen = now
+		c.lastSeen = now
 	}
 }
 
+// claim returns the account's claim, updated with the account's current weight
+// and priority.
 func (p *fairPool) claim(account *bundle.Account, now time.Time) *claim {
 	c := p.claims[account.Name]
 	if c == nil {
@@ -127,101 +135,104 @@
 	}
 	c.weight = float64(max(1, account.Weight))
 	c.priority = account.Priority
-	c.seen = now
+	c.lastSeen = now
 	return c
 }
 
-// prune forgets idle accounts, which bounds the table by those in use.
+// prune removes idle accounts, so that the table holds only accounts in use.
 func (p *fairPool) prune(now time.Time) {
-	if now.Sub(p.pruned) < idleAfter {
+	if now.Sub(p.prunedAt) < idleAfter {
 		return
 	}
-	p.pruned = now
+	p.prunedAt = now
 	for name, c := range p.claims {
-		if c.inFlight == 0 && now.Sub(c.seen) >= idleAfter {
+		if c.inFlight == 0 && now.Sub(c.lastSeen) >= idleAfter {
 			delete(p.claims, name)
 		}
 	}
 }
 
-// want notes how many calls the account wants in flight.
-func (c *claim) want(n int, now time.Time) {
-	c.turn(now)
+// recordDemand records that the account wants n calls in flight.
+func (c *claim) recordDemand(n int, now time.Time) {
+	c.rotateWindow(now)
 	c.peak = max(c.peak, n)
 }
 
-// turn begins a new window if it is time.
-func (c *claim) turn(now time.Time) {
+// rotateWindow starts a new window if activeWindow has passed.
+func (c *claim) rotateWindow(now time.Time) {
 	age := now.Sub(c.windowStart)
 	if age < activeWindow {
 		return
 	}
-	c.last = c.peak
+	c.previousPeak = c.peak
 	if age >= 2*activeWindow {
-		c.last = 0
+		c.previousPeak = 0
 	}
 	c.peak = c.inFlight
 	c.windowStart = now
 }
 
-// wanted is how many slots the account asks for.
-func (c *claim) wanted(now time.Time) float64 {
-	c.turn(now)
-	return float64(max(c.peak, c.last, c.inFlight))
+// slotsWanted returns how many slots the account asks for.
+func (c *claim) slotsWanted(now time.Time) float64 {
+	c.rotateWindow(now)
+	return float64(max(c.peak, c.previousPeak, c.inFlight))
 }
 
-// wait is how long the account's own calls need to fall below its share: by
-// Little's law they finish at the rate of their number over their time.
-func (c *claim) wait(now time.Time, demand Demand) time.Duration {
-	hold := max(demand.Hold, demand.Occupancy.Service)
-	if hold == 0 {
-		hold = holdUnknown
+// retryAfter returns how long the account's own calls will take to fall below
+// its share. By Little's law they finish at a rate of their number divided by
+// the time that each takes.
+func (c *claim) retryAfter(now time.Time, demand Demand) time.Duration {
+	callTime := max(demand.Hold, demand.Occupancy.Service)
+	if callTime == 0 {
+		callTime = defaultServiceTime
 	}
-	hold += demand.Occupancy.Wait(demand.Occupancy.Service)
+	callTime += demand.Occupancy.Wait(demand.Occupancy.Service)
 	running := float64(max(1, c.inFlight))
 	excess := float64(c.inFlight) - c.share + 1
-	wait := time.Duration(float64(hold) * min(1, excess/running))
-	gap := time.Duration(float64(hold) / max(1, c.share))
-	return c.turns.next(now, wait, gap)
+	wait := time.Duration(float64(callTime) * min(1, excess/running))
+	gap := time.Duration(float64(callTime) / max(1, c.share))
+	return c.retrySchedule.reserve(now, wait, gap)
 }
 
-// divide gives each account its share of the slots: higher priorities first,
-// each leaving lowerReserve to the lower ones, and by weight within one.
+// divide gives each account its share of the slots. Higher priorities come
+// first, and each leaves lowerPriorityReserve to the lower ones; within a
+// priority slots are divided by weight.
 func (p *fairPool) divide(slots float64, now time.Time) {
-	p.order = p.order[:0]
+	p.scratch = p.scratch[:0]
 	for _, c := range p.claims {
-		if c.wanted(now) > 0 {
-			p.order = append(p.order, c)
+		if c.slotsWanted(now) > 0 {
+			p.scratch = append(p.scratch, c)
 		}
 	}
-	slices.SortFunc(p.order, func(a, b *claim) int { return cmp.Compare(b.priority, a.priority) })
-	for first := 0; first < len(p.order); {
+	slices.SortFunc(p.scratch, func(a, b *claim) int { return cmp.Compare(b.priority, a.priority) })
+	for first := 0; first < len(p.scratch); {
 		next := first + 1
-		for next < len(p.order) && p.order[next].priority == p.order[first].priority {
+		for next < len(p.scratch) && p.scratch[next].priority == p.scratch[first].priority {
 			next++
 		}
 		usable := slots
-		if next < len(p.order) {
-			usable *= 1 - lowerReserve
+		if next < len(p.scratch) {
+			usable *= 1 - lowerPriorityReserve
 		}
-		slots -= fill(p.order[first:next], usable, now)
+		slots -= distribute(p.scratch[first:next], usable, now)
 		first = next
 	}
 }
 
-// fill shares out slots by weight, gives nobody more than it wants, and
-// returns how many were given. It takes the claims in the order in which a
-// rising share per weight satisfies them.
-func fill(claims []*claim, slots float64, now time.Time) float64 {
+// distribute divides slots by weight, gives no account more than it wants, and
+// returns how many were given. It takes the claims by increasing demand per
+// weight: those that want less than their part come first, and what they leave
+// goes to the rest.
+func distribute(claims []*claim, slots float64, now time.Time) float64 {
 	slices.SortFunc(claims, func(a, b *claim) int {
-		return cmp.Compare(a.wanted(now)/a.weight, b.wanted(now)/b.weight)
+		return cmp.Compare(a.slotsWanted(now)/a.weight, b.slotsWanted(now)/b.weight)
 	})
 	var weight, given float64
 	for _, c := range claims {
 		weight += c.weight
 	}
 	for _, c := range claims {
-		c.share = min(c.wanted(now), (slots-given)*c.weight/weight)
+		c.share = min(c.slotsWanted(now), (slots-given)*c.weight/weight)
 		given += c.share
 		weight -= c.weight
 	}
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -34,7 +34,7 @@
 	return d
 }
 
-// admitted sends n requests at once and counts those taken.
+// admitted sends n requests at once and returns how many are admitted.
 func admitted(l Limiter, n int, account *bundle.Account, liveEntries int, d Demand, now time.Time) int {
 	ok := 0
 	for range n {
@@ -72,9 +72,9 @@
 	}
 }
 
-// Story: a partition cuts three entries into one and two, and an account
-// sends as much as it can to both sides. Each side takes the whole limit, as
-// the package says: two parts, twice the limit, and no more.
+// Checks the bound in the package documentation: a partition cuts three entries
+// into one and two, and an account sends as much as it can to both sides. Each
+// side admits the whole limit, so the account gets twice its limit and no more.
 func TestOvershootUnderPartition(t *testing.T) {
 	account := &bundle.Account{Name: "a", Limit: bundle.Limit{RequestsPerSecond: 60, Burst: 6}}
 	entries := []Limiter{newLimiter(t, "adaptive"), newLimiter(t, "adaptive"), newLimiter(t, "adaptive")}
@@ -121,15 +121,17 @@
 	small := &bundle.Account{Name: "small", Weight: 2}
 	desk := &bundle.Account{Name: "desk", Weight: 1, Priority: 5}
 	l := newLimiter(t, bundle.PolicyAdaptive)
-	// 20 slots with slack are 30; alone, the flood may have all of them.
+	// A capacity of 20 times inFlightMargin makes 30 slots. While no other
+	// account asks, one may use all of them.
 	assert.Equal(t, admitted(l, 100, big, 1, full(20), start), 30)
-	// Others get what they are entitled to, although nothing is free.
+	// Others get their shares although no slot is free.
 	assert.Equal(t, admitted(l, 100, small, 1, full(20), start), 6)
 	assert.Equal(t, admitted(l, 100, desk, 1, full(20), start), 27)
 	v := l.Admit(start, big, 1, full(20))
 	assert.Equal(t, v.Reason, api.ReasonOverloaded)
-	assert.Assert(t, v.RetryAfter > 0 && v.RetryAfter < maxTurn)
-	// What is not asked for is lent again: the desk and the small one stop.
+	assert.Assert(t, v.RetryAfter > 0 && v.RetryAfter < maxRetrySpread)
+	// Slots that are not asked for may be used by others again: the desk and
+	// the small account stop.
 	for range 27 {
 		l.Done(desk, "llm", start)
 	}
@@ -149,8 +151,8 @@
 	assert.Equal(t, admitted(l, 500, account, 1, idle(100), start), 300)
 }
 
-// Story: a large account floods the engines for twenty seconds while a small one sends a call now and then. Callers of the small
-// account must not notice.
+// Guards against refusals of a small account that sends a call now and then
+// while a large account floods the engines for twenty seconds.
 func TestFloodCostsSmallAccountNothing(t *testing.T) {
 	big := &bundle.Account{Name: "big", Weight: 8}
 	small := &bundle.Account{Name: "small", Weight: 1}
@@ -193,8 +195,9 @@
 	until   int
 }
 
-// TestDivideAgainstSmallSteps compares shares with handing out slots in small
-// steps, always to the account that has least for its weight.
+// TestDivideAgainstSmallSteps compares the shares with those of a simple
+// algorithm that hands out slots in small steps, always to the account with the
+// fewest slots for its weight.
 func TestDivideAgainstSmallSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFairPool()
@@ -224,7 +227,7 @@
 		usable := slots
 		for _, c := range claims {
 			if c.priority < priority {
-				usable = slots * (1 - lowerReserve)
+				usable = slots * (1 - lowerPriorityReserve)
 				break
 			}
 		}
@@ -281,7 +284,8 @@
 	}
 }
 
-// TestConcurrentUse is for the race detector, and for places given back.
+// TestConcurrentUse exercises concurrent calls under the race detector, and
+// checks that all slots are released.
 func TestConcurrentUse(t *testing.T) {
 	l := newLimiter(t, bundle.PolicyAdaptive)
 	var group sync.WaitGroup
--- a/limit/naive.go
+++ b/limit/naive.go
@@ -18,11 +18,11 @@
 	})
 }
 
-// naiveRetryAfter is what the naive limiter tells everyone.
+// naiveRetryAfter is the retry delay of every refusal by the naive limiter.
 const naiveRetryAfter = time.Second
 
-// naive is the baseline: each entry gives each account its whole limit, and
-// knows neither other entries nor shares.
+// naive is the baseline for comparisons: each entry gives each account its
+// whole limit, regardless of other entries, and does not enforce shares.
 type naive struct {
 	mu      sync.Mutex
 	buckets map[string]*rate.Limiter
--- a/limit/patience_test.go
+++ b/limit/short_queue_test.go
@@ -11,11 +11,11 @@
 	"github.com/mangostage/mangostage/route"
 )
 
-// Two hundred opticians ask at once for a pool of three endpoints. All could be
-// answered within a tenth of the deadline, yet as soon as the calls equalled the
-// capacity a third of the callers were refused: shares were in force at the
-// first call that had to wait. A queue that clears in time refuses nobody; one
-// that does not is shared.
+// Guards against enforcing shares at the first call that has to wait. When two
+// hundred callers sent a request at once to a pool of three endpoints, a third
+// were refused as soon as the calls in flight equalled the capacity, though all
+// could have been answered within a tenth of the deadline. No request may be
+// refused while the queue clears in time; beyond that, shares apply.
 func TestShortQueueRefusesNobody(t *testing.T) {
 	limiter, err := New(bundle.Policy{Name: bundle.PolicyAdaptive})
 	assert.NilError(t, err)
@@ -38,8 +38,9 @@
 		}
 	}
 	assert.Assert(t, admitted >= 200, "only %d", admitted)
-	// As many as run in the time that may be spent in the queue, and those on the endpoints.
-	most := 48 + int(48*demand.patience()/demand.Occupancy.Service)
+	// The calls that run within the allowed time in the queue, and those on the
+	// endpoints.
+	most := 48 + int(48*demand.maxQueueWait()/demand.Occupancy.Service)
 	assert.Assert(t, admitted >= most-1 && admitted <= most, "%d of %d", admitted, most)
 	assert.Equal(t, verdict.Reason, api.ReasonOverloaded)
 	assert.Assert(t, verdict.RetryAfter > 0)
