--- a/order/giver.go
+++ b/order/controller.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// lookInterval is how often the engine's state is read.
-	lookInterval = time.Second
+	// pollInterval is how often the engine's state is read.
+	pollInterval = time.Second
+	// orderTimeout and pollTimeout bound one call to the engine.
 	orderTimeout = 5 * time.Second
-	lookTimeout  = 500 * time.Millisecond
+	pollTimeout  = 500 * time.Millisecond
 )
 
 // Event names of the log lines.
 const (
 	logPlacement = "placement"
 	logOrder     = "order"
-	logHeld      = "order_held"
+	logOrderHeld = "order_held"
 )
 
 var (
-	errs    = errorx.NewNamespace("order")
-	errHeld = errs.NewType("held")
+	errs        = errorx.NewNamespace("order")
+	errOutdated = errs.NewType("held")
 )
 
-// Engine is what a Giver needs of an engine's client.
+// Engine is what a controller needs of an engine's client.
 type Engine interface {
 	endpoint.Orderer
 	Health(ctx context.Context) (endpoint.Health, error)
 }
 
-// Config is what a Giver is made of.
+// Config configures a Giver.
 type Config struct {
 	Core   CoreConfig
 	Engine Engine
@@ -46,7 +47,7 @@
 	Now func() time.Time
 }
 
-// Giver carries out the decisions of a Core.
+// Giver sends the orders that a Core decides on.
 type Giver struct {
 	cfg  Config
 	core *Core
@@ -55,7 +56,7 @@
 	wg   sync.WaitGroup
 }
 
-// New returns a giver that is idle until Start.
+// New returns a controller that is idle until Start.
 func New(cfg Config) *Giver {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -68,27 +69,29 @@
 	return g
 }
 
-// ApplyBundle takes the bundle in force.
+// ApplyBundle applies the bundle in force.
 func (g *Giver) ApplyBundle(v *bundle.Verified) { g.core.Bundle(v.Bundle) }
 
-// SetLeaving notes whether the platform lists the own VM as leaving.
+// SetLeaving records whether the platform lists this process's VM as leaving.
 func (g *Giver) SetLeaving(leaving bool) { g.core.SetLeaving(leaving) }
 
-// Start begins to look at the engine and to give orders.
+// Start begins to read the engine's state and to send orders.
 func (g *Giver) Start() {
 	g.wg.Add(2)
-	go g.every(lookInterval, g.look)
-	go g.every(TickInterval, g.tick)
+	go g.runEvery(pollInterval, g.poll)
+	go g.runEvery(TickInterval, g.tick)
 }
 
-// Stop gives no further order and waits for the one under way.
+// Stop prevents further orders, cancels the one in progress and waits for it to
+// end.
 func (g *Giver) Stop() {
 	g.core.Drain()
 	g.stop()
 	g.wg.Wait()
 }
 
-func (g *Giver) every(interval time.Duration, fn func()) {
+// runEvery calls fn once per interval until Stop.
+func (g *Giver) runEvery(interval time.Duration, fn func()) {
 	defer g.wg.Done()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -102,46 +105,49 @@
 	}
 }
 
-func (g *Giver) look() {
+// poll reads the engine's state if the bundle may require orders. A failed read
+// is ignored; the state then expires after stateMaxAge.
+func (g *Giver) poll() {
 	if !g.core.Active() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(g.ctx, pollTimeout)
 	defer cancel()
-	asked := g.cfg.Now()
+	requestedAt := g.cfg.Now()
 	h, err := g.cfg.Engine.Health(ctx)
 	if err != nil {
 		return
 	}
-	g.core.Look(asked, g.cfg.Now(), h)
+	g.core.RecordState(requestedAt, g.cfg.Now(), h)
 }
 
-// tick gives an order in a goroutine of its own: a slow engine must not look
-// like a pause of this process.
+// tick sends an order in a goroutine of its own, so that a slow engine is not
+// taken for a pause of this process.
 func (g *Giver) tick() {
-	give, ok := g.core.Tick(g.cfg.Now())
+	dispatch, ok := g.core.Tick(g.cfg.Now())
 	if !ok {
 		return
 	}
-	g.event(g.cfg.Log.Info(), &give.Order).Str("event", logPlacement).Str("reason", give.Reason).Msg("placement")
+	g.withOrderFields(g.cfg.Log.Info(), &dispatch.Order).Str("event", logPlacement).Str("reason", dispatch.Reason).Msg("placement")
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
-		g.give(give.Order)
+		g.dispatch(dispatch.Order)
 	}()
 }
 
-func (g *Giver) give(o endpoint.Order) {
+// dispatch sends the order if it is still valid, and records the outcome.
+func (g *Giver) dispatch(o endpoint.Order) {
 	ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 	defer cancel()
 	if !g.core.Commit(g.cfg.Now(), o) {
-		g.event(g.cfg.Log.Warn(), &o).Str("event", logHeld).Msg("order held back")
+		g.withOrderFields(g.cfg.Log.Warn(), &o).Str("event", logOrderHeld).Msg("order not sent: no longer valid")
 		return
 	}
-	// The client asks once more when it has a connection to write to.
+	// The client calls the guard again once it has a connection to write to.
 	ctx = endpoint.WithGuard(ctx, func() error {
 		if !g.core.Commit(g.cfg.Now(), o) {
-			return errHeld.New("the order is out of date")
+			return errOutdated.New("the order is out of date")
 		}
 		return nil
 	})
@@ -151,10 +157,10 @@
 	if err != nil {
 		event = g.cfg.Log.Warn().Err(err)
 	}
-	g.event(event, &o).Str("event", logOrder).Msg("order")
+	g.withOrderFields(event, &o).Str("event", logOrder).Msg("order")
 }
 
-func (g *Giver) event(e *zerolog.Event, o *endpoint.Order) *zerolog.Event {
+func (g *Giver) withOrderFields(e *zerolog.Event, o *endpoint.Order) *zerolog.Event {
 	return e.Str("endpoint", g.cfg.Core.Endpoint).
 		Str("order", string(o.Kind)).
 		Str("model", o.Model).
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -23,14 +23,15 @@
 	return &bundle.Bundle{Version: version, Pools: []bundle.Pool{{Name: "llm", Endpoints: 1, Models: names}}}
 }
 
-// paced is models with a pace of the fleet, in loads a minute.
+// paced returns the bundle of models with a limit of rate loads a minute for
+// the whole fleet.
 func paced(rate float64, version uint64, names ...string) *bundle.Bundle {
 	b := models(version, names...)
 	b.Policy.ModelLoadsPerMinute = rate
 	return b
 }
 
-// engine is an engine that loads at once.
+// engine is a fake engine that loads models immediately.
 type engine struct {
 	mu       sync.Mutex
 	fencing  bool
@@ -68,14 +69,15 @@
 	return NewCore(CoreConfig{Endpoint: "llm-1", Pool: "llm", Giver: "agent", Start: start})
 }
 
-// live lets a core run for a while against an engine.
-func live(c *Core, e *engine, from time.Time, d time.Duration) time.Time {
+// runCore runs a core against an engine for the duration d and returns the time
+// at the end.
+func runCore(c *Core, e *engine, from time.Time, d time.Duration) time.Time {
 	now := from
 	for ; now.Before(from.Add(d)); now = now.Add(TickInterval) {
 		h, _ := e.Health(context.Background())
-		c.Look(now, now, h)
-		if give, ok := c.Tick(now); ok && c.Commit(now, give.Order) {
-			c.Done(now, give.Order, e.Order(context.Background(), give.Order))
+		c.RecordState(now, now, h)
+		if decision, ok := c.Tick(now); ok && c.Commit(now, decision.Order) {
+			c.Done(now, decision.Order, e.Order(context.Background(), decision.Order))
 		}
 	}
 	return now
@@ -84,33 +86,34 @@
 func TestLoadsArePacedAndUnloadsWait(t *testing.T) {
 	e, c := &engine{}, newCore(begin)
 	c.Bundle(paced(6, 1, "a", "b"))
-	now := live(c, e, begin, 10*time.Second)
+	now := runCore(c, e, begin, 10*time.Second)
 	assert.DeepEqual(t, e.models, []string{"a"})
-	now = live(c, e, now, 10*time.Second)
+	now = runCore(c, e, now, 10*time.Second)
 	assert.DeepEqual(t, e.models, []string{"a", "b"})
 	c.Bundle(paced(6, 2, "b", "c"))
-	now = live(c, e, now, 20*time.Second)
+	now = runCore(c, e, now, 20*time.Second)
 	assert.DeepEqual(t, e.models, []string{"a", "b", "c"})
-	live(c, e, now, 20*time.Second)
+	runCore(c, e, now, 20*time.Second)
 	assert.DeepEqual(t, e.models, []string{"b", "c"})
 	assert.Equal(t, len(e.accepted), 4)
 }
 
-// Engines hold a model that no bundle of this giver has named; somebody else
-// put it there.
+// Guards against unloading a model that no bundle known to this controller has
+// named: somebody else loaded it.
 func TestOnlyDroppedModelsAreUnloaded(t *testing.T) {
 	e, c := &engine{models: []string{"strange", "a"}}, newCore(begin)
 	c.Bundle(models(1, "a"))
-	now := live(c, e, begin, time.Minute)
+	now := runCore(c, e, begin, time.Minute)
 	assert.Equal(t, len(e.accepted), 0)
 	c.Bundle(models(2))
-	live(c, e, now, time.Minute)
+	runCore(c, e, now, time.Minute)
 	assert.DeepEqual(t, e.models, []string{"strange"})
 }
 
-// A bundle names a new model, or all engines restart with nothing loaded: the
-// whole fleet wants to load at once. Whatever the moment, no minute has more
-// loads than the pace, and none is late for it by more than an interval.
+// Guards against a burst of loads when a bundle names a new model, or all
+// engines restart with nothing loaded. Whatever the time of the event, no
+// minute has more loads than the limit and one for its edges, and no engine
+// waits for more than one interval per load.
 func TestFleetKeepsThePace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 40).Draw(t, "engines")
@@ -126,7 +129,7 @@
 			at := now
 			for range 2 {
 				for before := len(e.models); len(e.models) == before; {
-					at = live(c, e, at, TickInterval)
+					at = runCore(c, e, at, TickInterval)
 				}
 				loads = append(loads, at)
 			}
@@ -145,69 +148,71 @@
 	})
 }
 
-// An agent was stopped, and a bundle that drops a model came meanwhile. When it
-// wakes it sees the engine without the model that its own bundle names. It gives
-// the newer bundle time to arrive before it decides anything.
-func TestWokenGiverWaitsForBundles(t *testing.T) {
+// Guards against an agent that was paused while a bundle dropped a model. When
+// it resumes, the engine lacks a model that the agent's own bundle still names.
+// It must give the newer bundle time to arrive before it decides anything.
+func TestResumedControllerWaitsForBundles(t *testing.T) {
 	e, c := &engine{models: []string{"a"}}, newCore(begin)
 	c.Bundle(models(1, "a"))
-	now := live(c, e, begin, 2*time.Second).Add(time.Minute)
+	now := runCore(c, e, begin, 2*time.Second).Add(time.Minute)
 	e.models = nil
-	now = live(c, e, now, wakeWait-TickInterval)
+	now = runCore(c, e, now, resumeDelay-TickInterval)
 	assert.Equal(t, len(e.accepted), 0)
 	c.Bundle(models(2, "b"))
-	live(c, e, now, 2*time.Second)
+	runCore(c, e, now, 2*time.Second)
 	assert.DeepEqual(t, e.models, []string{"b"})
 }
 
-func TestLeavingGiverGivesNoOrders(t *testing.T) {
+func TestLeavingControllerSendsNoOrders(t *testing.T) {
 	e, c := &engine{}, newCore(begin)
 	c.Bundle(models(1, "a"))
 	c.SetLeaving(true)
-	now := live(c, e, begin, time.Minute)
+	now := runCore(c, e, begin, time.Minute)
 	assert.Equal(t, len(e.accepted), 0)
 	c.SetLeaving(false)
-	live(c, e, now, time.Second)
+	runCore(c, e, now, time.Second)
 	assert.DeepEqual(t, e.models, []string{"a"})
 }
 
-// An agent is stopped with an order in its hands, its VM is replaced, and the
-// successor has loaded what a newer bundle wants. When the first one wakes, its
-// order must do nothing, on engines that check numbers and on those that don't.
-func TestWokenGiverDoesNothing(t *testing.T) {
+// Guards against an agent that is paused between the decision and the sending
+// of an order, while its VM is replaced and the successor loads what a newer
+// bundle names. When the agent resumes, its order must have no effect, on
+// engines that check fencing numbers and on those that do not.
+func TestResumedControllerSendsNothing(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		e := &engine{fencing: fencing}
 		old, fresh := newCore(begin), newCore(begin.Add(time.Minute))
 		old.Bundle(models(1, "a"))
 		h, _ := e.Health(context.Background())
-		old.Look(begin, begin, h)
+		old.RecordState(begin, begin, h)
 		late, ok := old.Tick(begin)
 		assert.Assert(t, ok)
-		wake := begin.Add(time.Minute)
+		resumedAt := begin.Add(time.Minute)
 		fresh.Bundle(models(2, "b"))
-		wake = live(fresh, e, wake, time.Second)
-		assert.Assert(t, !old.Commit(wake, late.Order))
+		resumedAt = runCore(fresh, e, resumedAt, time.Second)
+		assert.Assert(t, !old.Commit(resumedAt, late.Order))
 		assert.DeepEqual(t, e.models, []string{"b"})
 		if fencing {
-			assert.Assert(t, e.Order(context.Background(), late.Order) != nil, "nor past the last check")
-			live(old, e, wake, time.Minute)
+			assert.Assert(t, e.Order(context.Background(), late.Order) != nil, "the engine accepted a stale order")
+			runCore(old, e, resumedAt, time.Minute)
 			assert.DeepEqual(t, e.models, []string{"b"})
 		}
 	}
 }
 
-// Whatever stops, lost replies and bundles come between, a fencing engine never
-// obeys a predecessor after its successor under the same bundle.
+// Checks that, with any sequence of pauses, lost replies and bundles, an engine
+// that checks fencing numbers executes no order of a predecessor unless its
+// bundle is newer than each under which an order of the successor was executed.
 func TestFencesOnlyGrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := &engine{fencing: true}
 		now := begin
-		givers := []*Core{newCore(begin), newCore(begin.Add(time.Millisecond * time.Duration(rapid.IntRange(1000, 5000).Draw(t, "later"))))}
-		held := make([]*endpoint.Order, len(givers))
-		var obeyed uint64 // the highest version under which the successor was obeyed
+		cores := []*Core{newCore(begin), newCore(begin.Add(time.Millisecond * time.Duration(rapid.IntRange(1000, 5000).Draw(t, "later"))))}
+		pending := make([]*endpoint.Order, len(cores))
+		var executed uint64 // the highest version under which an order of the successor was executed
 		for range 60 {
 			i := rapid.IntRange(0, 1).Draw(t, "giver")
-			c := givers[i]
+			c := cores[i]
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
 				now = now.Add(rapid.SampledFrom([]time.Duration{TickInterval, 5 * time.Second}).Draw(t, "pass"))
@@ -215,32 +220,32 @@
 				c.Bundle(models(uint64(rapid.IntRange(1, 3).Draw(t, "version")), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model")))
 			case 2:
 				h, _ := e.Health(context.Background())
-				c.Look(now, now, h)
+				c.RecordState(now, now, h)
 			case 3:
-				if give, ok := c.Tick(now); ok {
-					held[i] = &give.Order
+				if decision, ok := c.Tick(now); ok {
+					pending[i] = &decision.Order
 				}
 			case 4:
-				if held[i] == nil || !c.Commit(now, *held[i]) {
+				if pending[i] == nil || !c.Commit(now, *pending[i]) {
 					break
 				}
-				err := e.Order(context.Background(), *held[i])
-				version := held[i].Fence >> versionShift
+				err := e.Order(context.Background(), *pending[i])
+				version := pending[i].Fence >> versionShift
 				if err == nil && i == 1 {
-					obeyed = max(obeyed, version)
+					executed = max(executed, version)
 				}
-				assert.Assert(t, err != nil || i == 1 || version > obeyed, "a predecessor was obeyed")
+				assert.Assert(t, err != nil || i == 1 || version > executed, "the engine executed an order of the predecessor")
 				if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 					err = &endpoint.Error{Written: true, Lost: true, Err: errors.New("lost")}
 				}
-				c.Done(now, *held[i], err)
-				held[i] = nil
+				c.Done(now, *pending[i], err)
+				pending[i] = nil
 			}
 		}
 	})
 }
 
-func TestGiverLoadsOverItsShell(t *testing.T) {
+func TestControllerLoadsModel(t *testing.T) {
 	e := &engine{ordered: make(chan struct{})}
 	g := New(Config{Core: CoreConfig{Endpoint: "ep-1", Pool: "llm"}, Engine: e, Log: zerolog.Nop()})
 	g.ApplyBundle(&bundle.Verified{Bundle: models(1, "a")})
