--- a/limit/fair.go
+++ b/limit/fair.go
@@ -110,7 +110,7 @@
 }
 
 // release gives a slot back. If canceled is true, the slot was never used, and
-// does not count as the account's activity.
+// giving it back does not count as activity of the account.
 func (p *fairPool) release(account string, now time.Time, canceled bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/order/controller.go
+++ b/order/controller.go
@@ -38,7 +38,7 @@
 	Health(ctx context.Context) (endpoint.Health, error)
 }
 
-// Config configures a Giver.
+// Config configures a controller and its Core.
 type Config struct {
 	Core   CoreConfig
 	Engine Engine
--- a/route/estimator.go
+++ b/route/estimator.go
@@ -36,10 +36,11 @@
 	mergeInterval = 100 * time.Millisecond
 )
 
-// Estimator keeps the recent durations of stages: how long an endpoint duration.
-// Time queued at the agent is best left out: admission adds the wait expected
-// at the present load, so it would count twice. Each stage has its own lock and
-// takes about 20 KB, whatever the number of samples.
+// Estimator keeps the recent durations of stages: the time from the start of a
+// call on an endpoint to its end. Time queued at the agent is best left out:
+// admission adds the wait expected at the present load, so it would count
+// twice. Each stage has its own lock and takes about 20 KB, whatever the number
+// of samples.
 type Estimator struct {
 	mu     sync.RWMutex
 	stages map[StageKey]*stageTimes
--- a/route/health.go
+++ b/route/health.go
@@ -29,7 +29,7 @@
 const (
 	// HealthFailing means that calls failed or were lost in a row.
 	HealthFailing = "failing"
-	// HealthStraggler means that calls duration far longer than the pool's median.
+	// HealthStraggler means that calls took far longer than the pool's median.
 	HealthStraggler = "straggler"
 	// HealthEjectionExpired means that the time of the ejection is over.
 	HealthEjectionExpired = "ejection_served"
--- a/route/load_test.go
+++ b/route/load_test.go
@@ -63,7 +63,7 @@
 		}
 		assert.Equal(t, kept, 23)
 	}
-	// 70 entries with 24 each are 8 for each endpoint.
+	// 70 subsets of 24 include each of the 210 endpoints 8 times on average.
 	for _, e := range endpoints {
 		assert.Assert(t, chosen[e.Name] >= 1 && chosen[e.Name] <= 20, "%s %d", e.Name, chosen[e.Name])
 	}
