--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -9,20 +9,22 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// sendingSeparator stands between the entry and the number of the sending.
-const sendingSeparator = "#"
+// submissionSeparator separates the entry from the submission number in the
+// Entry of a CallID.
+const submissionSeparator = "#"
 
-// admit starts a request.
-func (t *turn) admit(a Admit) {
-	if !t.open(a, api.ReasonOverloaded, "too many requests in flight", 0) {
+// admit registers a request and starts its first stage, or ends it at once if
+// it cannot run.
+func (t *transition) admit(a Admit) {
+	if !t.register(a, api.ReasonOverloaded, "too many requests in flight", 0) {
 		return
 	}
 	if len(a.Pipeline.Stages) == 0 {
-		t.conclude(cause{reason: api.ReasonInternal, detail: "the pipeline has no stages"})
+		t.giveUp(cause{reason: api.ReasonInternal, detail: "the pipeline has no stages"})
 		return
 	}
 	if !t.now.Before(t.r.giveUpAt) {
-		t.conclude(cause{reason: api.ReasonDeadline, detail: "the deadline had passed on arrival"})
+		t.giveUp(cause{reason: api.ReasonDeadline, detail: "the deadline had passed on arrival"})
 		return
 	}
 	t.record(ledger.Record{Kind: ledger.KindAdmitted})
@@ -31,18 +33,19 @@
 	t.startStage()
 }
 
-// refuse ends a request that the shell turned away. No call was made, so the
-// only question is whether an earlier sending ran.
-func (t *turn) refuse(e Refuse) {
-	if t.open(e.Admit, e.Reason, e.Detail, e.RetryAfter) {
-		t.conclude(cause{reason: e.Reason, detail: e.Detail, retryAfter: e.RetryAfter})
+// refuse ends a request that the shell rejected. This submission made no call,
+// so the outcome depends only on whether an earlier submission ran.
+func (t *transition) refuse(e Refuse) {
+	if t.register(e.Admit, e.Reason, e.Detail, e.RetryAfter) {
+		t.giveUp(cause{reason: e.Reason, detail: e.Detail, retryAfter: e.RetryAfter})
 	}
 }
 
-// open enters the request into the shard. When that can't be, it replies at
-// once and returns false; reason is for a full table.
-func (t *turn) open(a Admit, reason api.Reason, detail string, retryAfter time.Duration) bool {
-	lead := min(giveUpLead, a.Deadline.Sub(t.now)/giveUpShare)
+// register adds the request to the shard. If the request is already in flight
+// or the table is full, it replies at once and returns false. reason, detail
+// and retryAfter describe the refusal if the table is full.
+func (t *transition) register(a Admit, reason api.Reason, detail string, retryAfter time.Duration) bool {
+	lead := min(giveUpLead, a.Deadline.Sub(t.now)/giveUpDivisor)
 	r := &request{Admit: a, admitted: t.now, giveUpAt: a.Deadline.Add(-lead),
 		winners: make([]*attempt, len(a.Pipeline.Stages))}
 	if t.r != nil {
@@ -51,8 +54,9 @@
 	}
 	t.r = r
 	if t.core.inFlight.Add(1) > int64(t.core.cfg.MaxInFlight) {
-		// The table is what bounds memory, so this request can't wait in it
-		// for peeks: with a possible earlier sending the outcome is unknown.
+		// The size of the table bounds memory, so this request cannot be kept
+		// while owners are queried: if an earlier submission is possible, the
+		// outcome is unknown.
 		t.finish(r.outcome(false), cause{reason: reason, detail: detail, retryAfter: retryAfter})
 		return false
 	}
@@ -61,21 +65,21 @@
 	return true
 }
 
-// entryOf returns the Entry of the request's CallIDs. A held ID may be sent
-// several times through this entry; the number of the sending keeps a late
-// reply to one from passing for a reply to another, and an agent's tombstone of
-// one from stopping another.
+// entryOf returns the Entry of the request's CallIDs. A held ID may be
+// submitted several times through this entry. The submission number prevents a
+// late reply to one submission from being accepted as a reply to another, and
+// an agent's tombstone for one from blocking another.
 func (c *Core) entryOf(r *request) string {
 	if r.Identity.Kind != wire.IdentityHeld {
 		return c.cfg.Entry
 	}
-	return c.cfg.Entry + sendingSeparator + strconv.FormatUint(c.sendings.Add(1), 10)
+	return c.cfg.Entry + submissionSeparator + strconv.FormatUint(c.submissions.Add(1), 10)
 }
 
-// replyInFlight answers a second sending of a held ID while the first is
-// still running here. Running both would mix up their calls; the outcome of
+// replyInFlight answers a second submission of a held ID while the first is
+// still running here. Running both would mix up their calls, and the outcome of
 // the first is not known yet.
-func (t *turn) replyInFlight(second *request) {
+func (t *transition) replyInFlight(second *request) {
 	first := t.r
 	c := cause{reason: api.ReasonEarlierAttempt, detail: "an earlier sending is still running",
 		retryAfter: max(first.Deadline.Sub(t.now), time.Millisecond)}
@@ -83,14 +87,17 @@
 	t.record(ledger.Record{Kind: ledger.KindRefused, Outcome: api.OutcomeUnknown, Reason: c.reason, Detail: c.detail})
 }
 
-// setTimer replaces the request's timer of that kind.
-func (t *turn) setTimer(kind TimerKind, at time.Time) {
+// setTimer sets the request's timer of the given kind and replaces the previous
+// one of that kind.
+func (t *transition) setTimer(kind TimerKind, at time.Time) {
 	t.shard.seq++
 	t.r.timers[kind] = t.shard.seq
 	t.emit(SetTimer{RequestID: t.r.RequestID, Kind: kind, Seq: t.shard.seq, At: at})
 }
 
-func (t *turn) onTimer(e Timer) {
+// onTimer handles a timer that has fired; one that was replaced or cleared is
+// ignored.
+func (t *transition) onTimer(e Timer) {
 	if int(e.Kind) >= timerKinds || t.r.timers[e.Kind] != e.Seq {
 		return
 	}
@@ -98,38 +105,39 @@
 	switch e.Kind {
 	case TimerDeadline:
 		t.expire()
-	case TimerProof:
+	case TimerOutcome:
 		t.end()
 	case TimerGiveUp:
 		if t.r.phase == running {
-			t.conclude(cause{reason: api.ReasonDeadline, detail: "the deadline is too near"})
+			t.giveUp(cause{reason: api.ReasonDeadline, detail: "the deadline is too near"})
 		}
 	case TimerHedge:
-		t.startHedge(t.idle)
+		t.startHedge(t.hasFreeSlot)
 	case TimerWait:
-		t.waitOver()
+		t.onWaitTimeout()
 	}
 }
 
-// expire ends the request at its deadline with what is known.
-func (t *turn) expire() {
+// expire ends the request at its deadline with the outcome known at that time.
+func (t *transition) expire() {
 	if t.r.phase == running {
 		t.r.cause = cause{reason: api.ReasonDeadline, detail: "the deadline has passed"}
 	}
 	t.end()
 }
 
-// onCallerGone stops all work: no caller is left to deliver a result to.
-func (t *turn) onCallerGone(ref uint64) {
+// onCallerGone gives the request up, because no caller is left to deliver a
+// result to.
+func (t *transition) onCallerGone(ref uint64) {
 	if ref != t.r.Ref || t.r.phase == peeking || t.r.abandoned {
 		return
 	}
 	t.r.abandoned = true
-	t.conclude(cause{reason: api.ReasonCallerGone, detail: "the caller has gone"})
+	t.giveUp(cause{reason: api.ReasonCallerGone, detail: "the caller has gone"})
 }
 
-// record keeps a fact about the request.
-func (t *turn) record(rec ledger.Record) {
+// record emits a ledger record about the request.
+func (t *transition) record(rec ledger.Record) {
 	rec.Request = t.r.RequestID
 	rec.At = t.now
 	rec.Process = t.core.cfg.Entry
@@ -138,8 +146,8 @@
 	t.emit(Record{rec})
 }
 
-// recordAttempt keeps a fact about one attempt.
-func (t *turn) recordAttempt(a *attempt, rec ledger.Record) {
+// recordAttempt emits a ledger record about one attempt.
+func (t *transition) recordAttempt(a *attempt, rec ledger.Record) {
 	rec.Stage = a.id.Stage
 	rec.Endpoint = a.endpoint
 	rec.Entry = a.id.Entry
--- a/pipeline/attempt.go
+++ b/pipeline/attempt.go
@@ -8,93 +8,101 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// knowledge is what is known of one call. Higher values override lower ones,
-// so that contradicting words leave the more cautious of them standing.
-type knowledge uint8
+// execState is what is known about the execution of one call. A higher value
+// overrides a lower one, so that of contradictory reports the more cautious one
+// holds.
+type execState uint8
 
 const (
-	// pending: there is no word yet and one may still come.
-	pending knowledge = iota
-	// silent: neither the call nor its revocation was answered.
-	silent
-	// notRun is proved: not written, refused by the agent, or revoked before it started.
+	// pending means that nothing is known yet and a reply may still come.
+	pending execState = iota
+	// unanswered means that neither the call nor its revocation was answered.
+	unanswered
+	// notRun means that the call is proved not to have run: it was not written,
+	// was refused by the agent, or was revoked before it started.
 	notRun
-	// mayHaveRun: the agent itself can't tell.
+	// mayHaveRun means that the agent itself cannot tell whether the call ran.
 	mayHaveRun
-	// ran: the endpoint was seen to work on it.
+	// ran means that the endpoint worked on the call.
 	ran
 )
 
-// attempt is one call.
+// attempt is one call of a stage.
 type attempt struct {
 	id       wire.CallID
 	stage    int
 	endpoint string
 	pool     string
-	// agent is the incarnation of the agent that the call was made to, as far
-	// as known.
+	// agent is the incarnation of the agent that the call was sent to; empty if
+	// unknown.
 	agent    string
 	sentAt   time.Time
 	deadline time.Time
-	knowledge
+	execState
 
-	// result is the reply to the call, nil until it comes.
+	// result is the reply to the call; nil until it arrives.
 	result *wire.StageResult
-	// notWritten and lost are the other two ways in which the call can end.
+	// notWritten and lost are true when the call ended without a reply: it was
+	// not written, or no reply will come.
 	notWritten bool
 	lost       bool
-	took       time.Duration
-	// lostAt is when the endpoint or the way to it was found to be lost; zero
-	// if it answered.
+	elapsed    time.Duration
+	// lostAt is when the endpoint was found to be down or unreachable; zero if
+	// it answered.
 	lostAt time.Time
 
 	revoked    bool
 	ack        wire.RevokeState
 	revokeLost bool
 
-	// cost is the highest that any reply named; replies may repeat it.
+	// cost is the highest cost that any reply reported; replies may report it
+	// repeatedly.
 	cost time.Duration
-	// chunks is the number of pieces taken in without a gap, matched the bytes
-	// of them that repeat what the caller already has.
-	chunks  int
-	matched int
-	gap     bool
+	// chunkCount is the number of chunks accepted without a gap. matchedBytes
+	// is the length of the output prefix in them that agrees with what the
+	// caller has received. streamStopped is true when no further chunks of this
+	// attempt are accepted.
+	chunkCount    int
+	matchedBytes  int
+	streamStopped bool
 }
 
-// learn keeps the more cautious of what was and is now known.
-func (a *attempt) learn(k knowledge) { a.knowledge = max(a.knowledge, k) }
+// advance raises the execution state to k if k is higher.
+func (a *attempt) advance(k execState) { a.execState = max(a.execState, k) }
 
-// over tells whether the call itself has ended, whatever it did.
-func (a *attempt) over() bool { return a.result != nil || a.notWritten || a.lost }
+// ended reports whether the call itself has ended, with or without a reply.
+func (a *attempt) ended() bool { return a.result != nil || a.notWritten || a.lost }
 
-// done tells whether the call brought a complete result.
+// done reports whether the call returned a complete result.
 func (a *attempt) done() bool {
 	return a.result != nil && a.result.Status == wire.StatusDone && len(a.result.Output) > 0
 }
 
-// mayComplete tells whether a complete result may still come.
+// mayComplete reports whether a complete result may still arrive.
 func (a *attempt) mayComplete() bool {
-	return !a.over() && a.knowledge != notRun && a.ack != wire.RevokedRunning
+	return !a.ended() && a.execState != notRun && a.ack != wire.RevokedRunning
 }
 
-// open tells whether a reply that names its cost may still come.
-func (a *attempt) open() bool {
+// mayReportCost reports whether a reply that includes the cost may still
+// arrive.
+func (a *attempt) mayReportCost() bool {
 	return (a.result == nil && !a.notWritten) || (a.revoked && a.ack == "" && !a.revokeLost)
 }
 
+// state returns the state of the attempt as shown in answers and records.
 func (a *attempt) state() api.StageState {
 	switch {
 	case a.done():
 		return api.StageDone
-	case a.knowledge == notRun:
+	case a.execState == notRun:
 		return api.StageNotRun
-	case a.knowledge == ran:
+	case a.execState == ran:
 		return api.StageFailed
 	}
 	return api.StageMayHaveRun
 }
 
-// status is the word on the attempt that retries are judged by.
+// status returns the status of the attempt for retry decisions.
 func (a *attempt) status() wire.StageStatus {
 	switch {
 	case a.notWritten:
@@ -107,15 +115,16 @@
 	return a.result.Status
 }
 
-// notReached tells whether the call is proved to have got to no endpoint.
-func (a *attempt) notReached() bool { return a.knowledge == notRun && !a.lostAt.IsZero() }
+// notReached reports whether the call is proved not to have reached any
+// endpoint.
+func (a *attempt) notReached() bool { return a.execState == notRun && !a.lostAt.IsZero() }
 
-// failure describes the attempt to the Retrier.
+// failure describes a failed attempt to the Retrier.
 func (r *request) failure(a *attempt, now time.Time, need time.Duration) retry.Failure {
 	return retry.Failure{
 		Pool:         a.pool,
 		Status:       a.status(),
-		Attempts:     r.counted(a.stage),
+		Attempts:     r.countedAttempts(a.stage),
 		Unrepeatable: r.stageAt(a.stage).Unrepeatable,
 		NotReached:   a.notReached(),
 		Remaining:    r.Deadline.Sub(now),
@@ -123,14 +132,15 @@
 	}
 }
 
-// cause is why a request ends without an answer.
+// cause is the reason for which a request ends without an answer.
 type cause struct {
 	reason     api.Reason
 	detail     string
 	retryAfter time.Duration
 }
 
-// causeOf says why an attempt brought no result.
+// causeOf returns the reason for which the attempt returned no result. bound is
+// true if its stage is bound to one agent run.
 func (a *attempt) causeOf(bound bool) cause {
 	switch {
 	case a.notWritten && bound:
@@ -147,7 +157,8 @@
 	return c
 }
 
-// defaultReasons stand in for a reason that the agent didn't give.
+// defaultReasons holds the reason to use for each status when the agent gave
+// none.
 var defaultReasons = map[wire.StageStatus]api.Reason{
 	wire.StatusDone:    api.ReasonEndpointFailed,
 	wire.StatusRefused: api.ReasonOverloaded,
--- a/pipeline/content_test.go
+++ b/pipeline/content_test.go
@@ -11,24 +11,28 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// told notes the keys that Suspects is told of.
-type told struct {
+// recordingSuspects records the keys that the core reports to Suspects.
+type recordingSuspects struct {
 	noSuspects
 	crashed, succeeded, ended []string
 }
 
-func (s *told) Crashed(key string, _ suspect.Crash, _ time.Time) { s.crashed = append(s.crashed, key) }
-func (s *told) Succeeded(key string, _ time.Time)                { s.succeeded = append(s.succeeded, key) }
-func (s *told) Ended(key string, _ time.Time)                    { s.ended = append(s.ended, key) }
+func (s *recordingSuspects) Crashed(key string, _ suspect.Crash, _ time.Time) {
+	s.crashed = append(s.crashed, key)
+}
+func (s *recordingSuspects) Succeeded(key string, _ time.Time) {
+	s.succeeded = append(s.succeeded, key)
+}
+func (s *recordingSuspects) Ended(key string, _ time.Time) { s.ended = append(s.ended, key) }
 
-// A request passes its first stage and kills the endpoint of its second, and
-// its caller sends it again and again. If both stages were counted under one
-// key, each success of the first would clear what the second has done, and the
-// crashes would never end.
+// Guards against counting crashes of all stages under one key: a request that
+// passes its first stage and crashes the endpoint of its second, submitted
+// again and again, would then clear its crashes with each success of the first
+// stage, and would never be refused.
 func TestSuccessOfOneStageDoesNotClearAnother(t *testing.T) {
-	s := &told{}
+	s := &recordingSuspects{}
 	p := newPlayer(Config{Suspects: s})
-	p.play(send(admit(minted, one, two)), done(1), func(p *player) Event {
+	p.run(send(admit(minted, one, two)), done(1), func(p *driver) Event {
 		return StageResult{wire.StageResult{ID: p.calls[1].ID, Status: wire.StatusLost, Crashed: true}}
 	})
 	assert.DeepEqual(t, s.succeeded, []string{suspect.Key("content", "one")})
@@ -42,8 +46,8 @@
 	assert.Equal(t, crashes, 2)
 }
 
-// crashAtTwo carries a request through the core, and crashes each endpoint that
-// runs its second stage.
+// crashAtTwo takes a request through the core, crashes each endpoint that runs
+// its second stage, and returns the number of crashes.
 func crashAtTwo(core *Core, id string) int {
 	a := admit(minted, one, two)
 	a.RequestID = id
--- a/pipeline/core.go
+++ b/pipeline/core.go
@@ -1,10 +1,16 @@
-// Package pipeline is the decision core of an entry: it carries each request
-// through the stages of its pipeline and ends it with exactly one reply whose
-// outcome is true.
+// Package pipeline is the decision core of an entry. It takes each request
+// through the stages of its pipeline and ends it with exactly one reply, whose
+// outcome claims nothing that is not proved.
 //
-// The core does no I/O. Handle takes an event and the time and returns the
-// effects that the shell is to carry out. State is sharded by request ID, each
-// shard under its own lock, so Handle may be called from any goroutine.
+// The core does no I/O. Handle takes an event and the current time and returns
+// the effects that the shell, the code around the core that does the I/O, must
+// carry out. State is sharded by request ID, each shard under its own lock, so
+// Handle may be called from any goroutine.
+//
+// A submission is one arrival of a request from its caller; messages to clients
+// call it a sending. The same request ID or idempotency key may be submitted
+// several times, also through several entries. A bound stage may only be
+// executed by one agent run, its owner.
 package pipeline
 
 import (
@@ -18,31 +24,34 @@
 )
 
 const (
-	// giveUpLead is how long before the deadline outstanding calls are revoked:
-	// several round trips between failure domains.
+	// giveUpLead is the time before the deadline at which outstanding calls are
+	// revoked. It allows for several round trips between failure domains.
 	giveUpLead = 20 * time.Millisecond
-	// giveUpShare bounds giveUpLead to a part of a short deadline.
-	giveUpShare = 20
-	// proofWait bounds the wait for revocations once no answer can come.
-	proofWait = 100 * time.Millisecond
+	// giveUpDivisor limits giveUpLead to 1/giveUpDivisor of the time left on
+	// arrival.
+	giveUpDivisor = 20
+	// revokeWait bounds the wait for replies to revocations once no answer can
+	// come.
+	revokeWait = 100 * time.Millisecond
 	// peekWait bounds the wait for owners' replies to peeks.
 	peekWait = 100 * time.Millisecond
-	// retryAfterDefault is told with transient refusals that name no time.
-	retryAfterDefault = time.Second
-	// maxForwarded bounds the streamed text kept to compare a retry with, in bytes.
+	// defaultRetryAfter is sent with transient refusals that specify no time.
+	defaultRetryAfter = time.Second
+	// maxForwarded bounds the streamed output, in bytes, that is kept to
+	// compare a retry with.
 	maxForwarded = 1 << 20
 
 	shardCount = 64
 )
 
-// Bounds used where a Config gives none.
+// Defaults for the limits in Config.
 const (
 	DefaultMaxInFlight  = 16384
 	DefaultMaxLateCalls = 16384
 	DefaultMaxWaiting   = 4096
 )
 
-// Config is what a Core is made of. Only Entry and Picker are required.
+// Config configures a Core. Only Entry and Picker are required.
 type Config struct {
 	// Entry is the name and incarnation of this entry, as in wire.CallID.
 	Entry     string
@@ -50,31 +59,32 @@
 	Retrier   Retrier
 	Suspects  Suspects
 	Quantiles Quantiles
-	// MaxInFlight bounds the requests in the core.
+	// MaxInFlight limits the number of requests in the core.
 	MaxInFlight int
-	// MaxLateCalls bounds the calls remembered after the end of their request,
-	// to account for their cost.
+	// MaxLateCalls limits the number of calls that are remembered after their
+	// request has ended, to account for their cost.
 	MaxLateCalls int
-	// MaxWaiting bounds the requests that are kept while no endpoint of a pool
-	// takes work; each holds the output of its earlier stages.
+	// MaxWaiting limits the number of requests that wait while no endpoint of a
+	// pool accepts work; each holds the output of its earlier stages.
 	MaxWaiting int
 }
 
 // Core holds all requests of one entry.
 type Core struct {
-	cfg      Config
-	inFlight atomic.Int64
-	sendings atomic.Uint64
-	waiting  *waitRoom
-	shards   [shardCount]shard
+	cfg         Config
+	inFlight    atomic.Int64
+	submissions atomic.Uint64
+	waiting     *waitSet
+	shards      [shardCount]shard
 }
 
 type shard struct {
 	mu       sync.Mutex
 	requests map[string]*request
 	late     lateCalls
-	// seq numbers timers and peeks; it never restarts, so that one of an
-	// earlier sending is not taken for one of a later with the same ID.
+	// seq numbers timers and peek rounds. It never restarts, so that a timer or
+	// reply of an earlier submission is not mistaken for one of a later
+	// submission with the same ID.
 	seq uint64
 }
 
@@ -98,7 +108,7 @@
 	if cfg.MaxWaiting <= 0 {
 		cfg.MaxWaiting = DefaultMaxWaiting
 	}
-	c := &Core{cfg: cfg, waiting: newWaitRoom(cfg.MaxWaiting)}
+	c := &Core{cfg: cfg, waiting: newWaitSet(cfg.MaxWaiting)}
 	for i := range c.shards {
 		c.shards[i].requests = make(map[string]*request)
 		c.shards[i].late = newLateCalls(max(1, cfg.MaxLateCalls/shardCount))
@@ -106,16 +116,16 @@
 	return c
 }
 
-// InFlight is the number of requests without a reply.
+// InFlight returns the number of requests without a reply.
 func (c *Core) InFlight() int { return int(c.inFlight.Load()) }
 
-// Handle takes in one event and returns what is to be done.
+// Handle applies one event and returns the effects to carry out, in order.
 func (c *Core) Handle(now time.Time, ev Event) []Effect {
 	id := ev.requestID()
 	s := c.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := &turn{core: c, shard: s, r: s.requests[id], now: now}
+	t := &transition{core: c, shard: s, r: s.requests[id], now: now}
 	t.handle(ev)
 	return t.effects
 }
@@ -124,8 +134,9 @@
 	return &c.shards[xxhash.Sum64String(requestID)%shardCount]
 }
 
-// turn is the handling of one event.
-type turn struct {
+// transition applies one event to a request and collects the effects. r is nil
+// if the request is not in the shard.
+type transition struct {
 	core    *Core
 	shard   *shard
 	r       *request
@@ -133,9 +144,9 @@
 	effects []Effect
 }
 
-func (t *turn) emit(e Effect) { t.effects = append(t.effects, e) }
+func (t *transition) emit(e Effect) { t.effects = append(t.effects, e) }
 
-func (t *turn) handle(ev Event) {
+func (t *transition) handle(ev Event) {
 	switch e := ev.(type) {
 	case Admit:
 		t.admit(e)
@@ -158,8 +169,9 @@
 	}
 }
 
-// handleRequest handles the events that mean nothing once a request has ended.
-func (t *turn) handleRequest(ev Event) {
+// handleRequest handles the events that have no effect once a request has
+// ended.
+func (t *transition) handleRequest(ev Event) {
 	if t.r == nil {
 		return
 	}
--- a/pipeline/core_test.go
+++ b/pipeline/core_test.go
@@ -18,18 +18,19 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// player feeds a Core by hand and keeps its effects.
-type player struct {
+// driver feeds events to a Core and keeps its effects.
+type driver struct {
 	core    *Core
 	now     time.Time
 	effects []Effect
 	calls   []Call
 }
 
-// step makes the next event from what was called so far; calls count from 1.
-type step func(p *player) Event
+// step builds the next event from the calls made so far; calls are numbered
+// from 1.
+type step func(p *driver) Event
 
-func (p *player) play(steps ...step) {
+func (p *driver) run(steps ...step) {
 	for _, s := range steps {
 		p.now = p.now.Add(ms)
 		effects := p.core.Handle(p.now, s(p))
@@ -42,7 +43,7 @@
 	}
 }
 
-func (p *player) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
+func (p *driver) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
 	for _, name := range []string{"e1", "e2", "e3"} {
 		if !tried(req, name) && (req.Only == "" || req.Only == name) {
 			e := &route.Endpoint{Name: name}
@@ -53,15 +54,15 @@
 	return route.Decision{Reason: route.ReasonAllTried}
 }
 
-func newPlayer(cfg Config) *player {
-	p := &player{now: epoch}
+func newPlayer(cfg Config) *driver {
+	p := &driver{now: epoch}
 	cfg.Entry, cfg.Picker = "entry/1", p
 	p.core = New(cfg)
 	return p
 }
 
-// all returns the effects of one type.
-func all[T Effect](p *player) []T {
+// all returns the effects of type T.
+func all[T Effect](p *driver) []T {
 	var found []T
 	for _, e := range p.effects {
 		if x, ok := e.(T); ok {
@@ -94,10 +95,10 @@
 	minted = wire.IdentityMinted
 )
 
-func send(a Admit) step { return func(*player) Event { return a } }
+func send(a Admit) step { return func(*driver) Event { return a } }
 
 func result(call int, status wire.StageStatus, output string) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		res := wire.StageResult{ID: p.calls[call-1].ID, Status: status, Cost: 5 * ms}
 		if output != "" {
 			res.Output = quote(output)
@@ -109,28 +110,28 @@
 func done(call int) step    { return result(call, wire.StatusDone, "out") }
 func refused(call int) step { return result(call, wire.StatusRefused, "") }
 func conflict(call int) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		return StageResult{wire.StageResult{ID: p.calls[call-1].ID, Status: wire.StatusRefused, Reason: api.ReasonKeyConflict}}
 	}
 }
 
-// notReached is the answer of an agent whose endpoint is down.
+// notReached is the reply of an agent whose endpoint is down.
 func notReached(call int) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		return StageResult{wire.StageResult{ID: p.calls[call-1].ID, Status: wire.StatusRefused, Reason: api.ReasonNoEndpoint}}
 	}
 }
-func lost(call int) step { return func(p *player) Event { return CallLost{p.calls[call-1].ID} } }
+func lost(call int) step { return func(p *driver) Event { return CallLost{p.calls[call-1].ID} } }
 func revokeLost(call int) step {
-	return func(p *player) Event { return RevokeLost{p.calls[call-1].ID} }
+	return func(p *driver) Event { return RevokeLost{p.calls[call-1].ID} }
 }
 
 func notWritten(call int) step {
-	return func(p *player) Event { return CallNotWritten{p.calls[call-1].ID} }
+	return func(p *driver) Event { return CallNotWritten{p.calls[call-1].ID} }
 }
 
 func ack(call int, state wire.RevokeState, incarnation string) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		res := wire.RevokeResult{State: state}
 		res.Report.Process.Incarnation = incarnation
 		return RevokeAck{p.calls[call-1].ID, res}
@@ -138,21 +139,21 @@
 }
 
 func peeked(state wire.PeekState) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		sent := all[SendPeek](p)[0]
 		return PeekReply{sent.RequestID, sent.Seq, sent.Stage, wire.PeekResult{State: state}}
 	}
 }
 
 func piece(call, seq int, text string) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		return StageChunk{wire.StageChunk{ID: p.calls[call-1].ID, Seq: seq, Text: text}}
 	}
 }
 
-// timer lets the latest timer of a kind come due.
+// timer fires the latest timer of a kind.
 func timer(kind TimerKind) step {
-	return func(p *player) Event {
+	return func(p *driver) Event {
 		var latest SetTimer
 		for _, e := range all[SetTimer](p) {
 			if e.Kind == kind {
@@ -164,11 +165,11 @@
 	}
 }
 
-func gone(*player) Event { return CallerGone{"r", 1} }
+func callerGone(*driver) Event { return CallerGone{"r", 1} }
 
-// A caller is told "refused" and orders again; or is told nothing of use and
-// must ask. Which of the two is right hangs on what exactly was heard of each
-// call before the reply.
+// Guards against a wrong outcome: after "refused" a caller submits its order
+// again, after "unknown" it must find out what happened. The outcome depends on
+// which replies to each call arrived before the reply to the caller.
 func TestOutcome(t *testing.T) {
 	held, key := admit(wire.IdentityHeld, order), admit(wire.IdentityKey, one)
 	unowned := admit(wire.IdentityHeld, order)
@@ -191,7 +192,7 @@
 		{"order lost, agent restarted", []step{send(admit(minted, order)), lost(1), ack(1, wire.RevokedNotRun, "second")}, api.OutcomeUnknown, api.ReasonConnectionLost},
 		{"order lost, agent without a report", []step{send(admit(minted, order)), lost(1), ack(1, wire.RevokedNotRun, "")}, api.OutcomeUnknown, api.ReasonConnectionLost},
 		{"order lost, revocation lost", []step{send(admit(minted, order)), lost(1), revokeLost(1)}, api.OutcomeUnknown, api.ReasonConnectionLost},
-		{"order lost, silence", []step{send(admit(minted, order)), lost(1), timer(TimerProof)}, api.OutcomeUnknown, api.ReasonConnectionLost},
+		{"order lost, silence", []step{send(admit(minted, order)), lost(1), timer(TimerOutcome)}, api.OutcomeUnknown, api.ReasonConnectionLost},
 		{"order may have run before", []step{send(admit(minted, order)), result(1, wire.StatusUnknown, "")}, api.OutcomeUnknown, api.ReasonEarlierAttempt},
 		{"order lost by the agent", []step{send(admit(minted, order)), result(1, wire.StatusLost, "")}, api.OutcomeUnknown, api.ReasonEndpointLost},
 		{"order failed", []step{send(admit(minted, order)), result(1, wire.StatusFailed, "")}, api.OutcomeCutShort, api.ReasonEndpointFailed},
@@ -201,16 +202,16 @@
 		{"given up, result wins", []step{send(admit(minted, one)), timer(TimerGiveUp), done(1)}, api.OutcomeAnswered, ""},
 		{"given up, result after its acknowledgement", []step{send(admit(minted, one)), timer(TimerGiveUp), ack(1, wire.RevokedDone, "first"), done(1)}, api.OutcomeAnswered, ""},
 		{"given up, silence", []step{send(admit(minted, one)), timer(TimerGiveUp), timer(TimerDeadline)}, api.OutcomeUnknown, api.ReasonDeadline},
-		{"result after the deadline", []step{send(admit(minted, one)), func(p *player) Event { p.now = p.now.Add(2 * time.Second); return done(1)(p) }}, api.OutcomeCutShort, api.ReasonDeadline},
-		{"caller gone, not run", []step{send(admit(minted, one)), gone, ack(1, wire.RevokedNotRun, "first")}, api.OutcomeRefused, api.ReasonCallerGone},
-		{"caller gone, done", []step{send(admit(minted, one)), gone, done(1)}, api.OutcomeCutShort, api.ReasonCallerGone},
+		{"result after the deadline", []step{send(admit(minted, one)), func(p *driver) Event { p.now = p.now.Add(2 * time.Second); return done(1)(p) }}, api.OutcomeCutShort, api.ReasonDeadline},
+		{"caller gone, not run", []step{send(admit(minted, one)), callerGone, ack(1, wire.RevokedNotRun, "first")}, api.OutcomeRefused, api.ReasonCallerGone},
+		{"caller gone, done", []step{send(admit(minted, one)), callerGone, done(1)}, api.OutcomeCutShort, api.ReasonCallerGone},
 		{"held order refused, owner never ran it", []step{send(held), refused(1), peeked(wire.PeekNever)}, api.OutcomeRefused, api.ReasonOverloaded},
 		{"held order refused, owner ran it", []step{send(held), refused(1), peeked(wire.PeekDone)}, api.OutcomeCutShort, api.ReasonEarlierAttempt},
 		{"held order refused for its body, owner ran another", []step{send(held), conflict(1), peeked(wire.PeekDone)}, api.OutcomeCutShort, api.ReasonKeyConflict},
 		{"held order refused, owner runs it", []step{send(held), refused(1), peeked(wire.PeekRunning)}, api.OutcomeUnknown, api.ReasonEarlierAttempt},
 		{"held order refused, owner can't tell", []step{send(held), refused(1), peeked(wire.PeekUnknown)}, api.OutcomeUnknown, api.ReasonOverloaded},
-		{"held order refused, owner silent", []step{send(held), refused(1), timer(TimerProof)}, api.OutcomeUnknown, api.ReasonOverloaded},
-		{"held order turned away by the shell", []step{func(*player) Event { return shell }, peeked(wire.PeekNever)}, api.OutcomeRefused, api.ReasonRateLimited},
+		{"held order refused, owner silent", []step{send(held), refused(1), timer(TimerOutcome)}, api.OutcomeUnknown, api.ReasonOverloaded},
+		{"held order turned away by the shell", []step{func(*driver) Event { return shell }, peeked(wire.PeekNever)}, api.OutcomeRefused, api.ReasonRateLimited},
 		{"held, repeatable", []step{send(admit(wire.IdentityHeld, one)), refused(1), refused(2)}, api.OutcomeUnknown, api.ReasonOverloaded},
 		{"held, partly repeatable", []step{send(admit(wire.IdentityHeld, order, one)), refused(1)}, api.OutcomeUnknown, api.ReasonOverloaded},
 		{"held order without an owner", []step{send(unowned)}, api.OutcomeUnknown, api.ReasonNoEndpoint},
@@ -218,7 +219,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPlayer(Config{})
-			p.play(tc.steps...)
+			p.run(tc.steps...)
 			replies := all[Reply](p)
 			assert.Equal(t, len(replies), 1)
 			assert.Equal(t, replies[0].Outcome(), tc.want)
@@ -230,11 +231,12 @@
 	}
 }
 
-// A result comes twice, or after its request was answered. The second copy
-// must neither be delivered nor move another request on.
+// Guards against a result that arrives twice, or after its request was
+// answered: the second copy must neither be delivered nor advance another
+// request.
 func TestRepeatedResultIsDropped(t *testing.T) {
 	p := newPlayer(Config{})
-	p.play(send(admit(minted, one, two)), done(1), done(1), done(2), done(2))
+	p.run(send(admit(minted, one, two)), done(1), done(1), done(2), done(2))
 	assert.Equal(t, len(all[Reply](p)), 1)
 	assert.Equal(t, len(p.calls), 2)
 	assert.Equal(t, string(p.calls[1].Previous), `"out"`)
@@ -249,7 +251,7 @@
 
 func TestHedge(t *testing.T) {
 	p := newPlayer(Config{Quantiles: fixedQuantile(20 * ms)})
-	p.play(send(admit(minted, one)), timer(TimerHedge), result(2, wire.StatusDone, "fast"), done(1), ack(1, wire.RevokedDone, "first"))
+	p.run(send(admit(minted, one)), timer(TimerHedge), result(2, wire.StatusDone, "fast"), done(1), ack(1, wire.RevokedDone, "first"))
 	assert.Equal(t, string(all[Reply](p)[0].Answer.Output), `"fast"`)
 	assert.Equal(t, all[Revoke](p)[0].Endpoint, "e1")
 	cost := Cost{Pipeline: "p", Stage: "one", Account: "account", Amount: 5 * ms}
@@ -258,15 +260,16 @@
 	assert.DeepEqual(t, all[Cost](p), []Cost{useful, cost})
 }
 
-// Story: in a burst all engines are full and every call is slow. Each was sent a
-// second time, to wait in another engine's queue, and the queues grew by half.
+// Guards against hedging in a burst: when all engines are full, every call is
+// slow, and hedging each one into another engine's queue made the queues half
+// as long again.
 func TestNoHedgeIntoAQueue(t *testing.T) {
 	busy := &route.Endpoint{Name: "e2", Load: new(route.Load), ReportedAt: epoch}
 	busy.Report.Capacity, busy.Report.InFlight = 4, 4
 	p := newPlayer(Config{Quantiles: fixedQuantile(20 * ms)})
-	p.play(send(admit(minted, one)))
+	p.run(send(admit(minted, one)))
 	p.core.cfg.Picker = fixedPicker{busy}
-	p.play(timer(TimerHedge))
+	p.run(timer(TimerHedge))
 	assert.Equal(t, len(p.calls), 1)
 }
 
@@ -276,14 +279,14 @@
 	return route.Decision{Endpoint: f.to}
 }
 
-// The endpoint dies in the middle of a streamed answer and another takes over.
-// A caller who has read "The frame" must not go on to read words of another
-// text: the retry is shown only from where it continues exactly.
+// Guards against mixing two outputs when the endpoint of a stream crashes and
+// another takes over: the caller gets output of the retry only from where it
+// continues exactly what the caller has received.
 func TestStreamAfterRetry(t *testing.T) {
 	streamed := admit(minted, one)
 	streamed.Stream = true
 	start := []step{send(streamed), piece(1, 0, "The "), piece(1, 1, "frame"), piece(1, 1, "frame"), lost(1)}
-	text := func(p *player) (s string) {
+	text := func(p *driver) (s string) {
 		for i, c := range all[Chunk](p) {
 			assert.Equal(t, c.Seq, i)
 			s += c.Text
@@ -291,7 +294,7 @@
 		return s
 	}
 	p := newPlayer(Config{})
-	p.play(append(start, piece(2, 0, "The fr"), piece(2, 1, "ame fits"), done(2))...)
+	p.run(append(start, piece(2, 0, "The fr"), piece(2, 1, "ame fits"), done(2))...)
 	assert.Equal(t, text(p), "The frame fits")
 	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeAnswered)
 	for name, rest := range map[string][]step{
@@ -300,7 +303,7 @@
 		"with a gap": {piece(2, 1, "ame fits"), done(2)},
 	} {
 		p := newPlayer(Config{})
-		p.play(append(slices.Clone(start), rest...)...)
+		p.run(append(slices.Clone(start), rest...)...)
 		assert.Equal(t, text(p), "The frame", name)
 		assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeCutShort, name)
 	}
@@ -310,47 +313,47 @@
 	p := newPlayer(Config{MaxInFlight: 1})
 	second := admit(minted, one)
 	second.RequestID, second.Ref = "s", 2
-	p.play(send(admit(minted, one)), send(second), done(1))
+	p.run(send(admit(minted, one)), send(second), done(1))
 	replies := all[Reply](p)
 	assert.Equal(t, replies[0].Ref, uint64(2))
 	assert.Equal(t, replies[0].Outcome(), api.OutcomeRefused)
-	assert.Equal(t, replies[0].Problem.RetryAfter, retryAfterDefault)
+	assert.Equal(t, replies[0].Problem.RetryAfter, defaultRetryAfter)
 	assert.Equal(t, replies[1].Outcome(), api.OutcomeAnswered)
 }
 
-// A caller sends a held ID again through the same entry, at once and later.
-// Calls of the two sendings must not be taken for each other.
+// Guards against confusing the calls of two submissions when a caller submits a
+// held ID again through the same entry, while the first is running and later.
 func TestHeldIDSentAgain(t *testing.T) {
 	again := admit(wire.IdentityHeld, one)
 	again.Ref = 2
 	p := newPlayer(Config{})
-	p.play(send(admit(wire.IdentityHeld, one)), send(again), done(1), send(again))
+	p.run(send(admit(wire.IdentityHeld, one)), send(again), done(1), send(again))
 	replies := all[Reply](p)
 	assert.Equal(t, replies[0].Ref, uint64(2))
 	assert.Equal(t, replies[0].Problem.Reason, api.ReasonEarlierAttempt)
 	assert.Equal(t, replies[1].Ref, uint64(1))
-	p.play(done(1))
-	assert.Equal(t, len(all[Reply](p)), 2, "a result of the first sending answered the second")
-	p.play(done(2))
+	p.run(done(1))
+	assert.Equal(t, len(all[Reply](p)), 2, "a result of the first submission answered the second")
+	p.run(done(2))
 	assert.Equal(t, len(all[Reply](p)), 3)
 }
 
-// crashing refuses content after its first crash.
-type crashing struct {
+// refuseAfterCrash refuses all content after the first crash.
+type refuseAfterCrash struct {
 	noSuspects
 	crashes int
 }
 
-func (c *crashing) Crashed(string, suspect.Crash, time.Time) { c.crashes++ }
-func (c *crashing) Begin(string, time.Time) suspect.Verdict {
+func (c *refuseAfterCrash) Crashed(string, suspect.Crash, time.Time) { c.crashes++ }
+func (c *refuseAfterCrash) Begin(string, time.Time) suspect.Verdict {
 	return suspect.Verdict{Refuse: c.crashes > 0, RetryAfter: time.Minute}
 }
 
-// A request kills the endpoint that runs it. The crash counts before the retry
-// is decided, so that the retry doesn't kill the next endpoint.
+// Guards against a retry that crashes the next endpoint: when a request crashes
+// its endpoint, the crash must be counted before the retry is decided.
 func TestCrashCountsBeforeRetry(t *testing.T) {
-	p := newPlayer(Config{Suspects: &crashing{}})
-	p.play(send(admit(minted, one)), func(p *player) Event {
+	p := newPlayer(Config{Suspects: &refuseAfterCrash{}})
+	p.run(send(admit(minted, one)), func(p *driver) Event {
 		return StageResult{wire.StageResult{ID: p.calls[0].ID, Status: wire.StatusLost, Crashed: true}}
 	})
 	problem := all[Reply](p)[0].Problem
@@ -360,7 +363,8 @@
 	assert.Equal(t, len(p.calls), 1)
 }
 
-// oneRequest carries a request of two stages through the core.
+// oneRequest takes a request of two stages through the core and returns the
+// number of replies.
 func oneRequest(core *Core, id string) int {
 	a := admit(minted, one, two)
 	a.RequestID = id
@@ -401,7 +405,8 @@
 	}
 }
 
-// tried tells whether the request was sent to the endpoint and has not come back since.
+// tried reports whether the endpoint is among those that the request was sent
+// to.
 func tried(req *route.Request, name string) bool {
 	return slices.ContainsFunc(req.Tried, func(t route.Tried) bool { return t.Endpoint == name })
 }
--- a/pipeline/effect.go
+++ b/pipeline/effect.go
@@ -9,58 +9,62 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Effect is something that the shell is to carry out. Effects of one Handle
-// are carried out in their order. The set is closed.
+// Effect is an action that the shell must carry out. The effects of one Handle
+// call are carried out in order. The set is closed.
 type Effect interface {
 	effect()
 }
 
-// TimerKind names a request's timers. A new one of a kind replaces the old.
+// TimerKind identifies one of a request's timers. Setting a timer replaces the
+// previous one of its kind.
 type TimerKind uint8
 
 // The timers of a request.
 const (
-	// TimerDeadline fires at the deadline, when the reply must go out.
+	// TimerDeadline fires at the deadline, when the reply must be sent.
 	TimerDeadline TimerKind = iota
-	// TimerGiveUp fires a little earlier, to learn what became of the calls.
+	// TimerGiveUp fires shortly before the deadline, to leave time to find out
+	// whether the outstanding calls ran.
 	TimerGiveUp
-	// TimerHedge fires when a second attempt may start.
+	// TimerHedge fires when a hedge may start.
 	TimerHedge
-	// TimerProof ends the wait for revocations or peeks.
-	TimerProof
+	// TimerOutcome ends the wait for replies to revocations or peeks.
+	TimerOutcome
 	// TimerWait ends the wait for an endpoint.
 	TimerWait
 )
 
 // Call sends a stage call to the agent of an endpoint, once. The shell reports
-// exactly one of StageResult, CallNotWritten and CallLost for it, the last soon
-// after the call's deadline at the latest.
+// exactly one of StageResult, CallNotWritten and CallLost for it; CallLost
+// comes at the latest soon after the call's deadline.
 type Call struct {
 	Endpoint string
 	wire.StageCall
 }
 
-// Revoke asks an agent to stop a call. RevokeAck, with the agent's report, or
-// RevokeLost follows.
+// Revoke asks an agent to stop a call. The shell answers with RevokeAck, which
+// holds the agent's report, or RevokeLost.
 type Revoke struct {
 	Endpoint string
 	CallID   wire.CallID
-	// Until is the call's deadline.
+	// Until is the deadline of the call.
 	Until time.Time
-	// Incarnation is that of the agent to which the call was made, as far as known.
+	// Incarnation is that of the agent that the call was sent to; empty if
+	// unknown.
 	Incarnation  string
 	Identity     wire.Identity
 	Binding      *wire.Binding
 	Unrepeatable bool
 }
 
-// Message returns r as sent to the agent.
+// Message returns the wire message for r.
 func (r Revoke) Message() wire.Revoke {
 	return wire.Revoke{ID: r.CallID, Until: r.Until, Incarnation: r.Incarnation,
 		Identity: r.Identity, Binding: r.Binding, Unrepeatable: r.Unrepeatable}
 }
 
-// SendPeek asks an owner whether it ever ran a stage. PeekReply or PeekLost follows.
+// SendPeek asks an owner whether it ever ran a stage. The shell answers with
+// PeekReply or PeekLost.
 type SendPeek struct {
 	RequestID string
 	Seq       uint64
@@ -68,7 +72,7 @@
 	wire.Peek
 }
 
-// Chunk goes to a streaming caller.
+// Chunk is sent to a streaming caller.
 type Chunk struct {
 	RequestID string
 	Ref       uint64
@@ -76,16 +80,16 @@
 	Text      string
 }
 
-// Reply ends a request. There is exactly one for each Admit and Refuse, also
-// when the caller is gone, so that the shell can release what it holds for it.
-// All timers of the request may be dropped.
+// Reply ends a request. There is exactly one for each Admit and Refuse, even if
+// the caller is gone, so that the shell can release the resources of the
+// request. The shell may drop all timers of the request.
 type Reply struct {
 	RequestID string
 	Ref       uint64
 	api.Final
 }
 
-// SetTimer asks for a Timer at a time.
+// SetTimer asks for a Timer event at the given time.
 type SetTimer struct {
 	RequestID string
 	Kind      TimerKind
@@ -93,7 +97,7 @@
 	At        time.Time
 }
 
-// Log is one routing decision.
+// Log describes one routing decision.
 type Log struct {
 	RequestID string
 	Stage     string
@@ -105,33 +109,37 @@
 	Candidates int
 	Considered int
 	Reason     string
-	// Waits: the request is kept until an endpoint is back.
+	// Waits is true when the request is kept until an endpoint is available
+	// again.
 	Waits bool
-	// Unusable says of some endpoints why none was chosen.
+	// Unusable gives, for some endpoints, why they were not chosen.
 	Unusable []route.Unusable
 }
 
-// Record is a fact to keep.
+// Record is a fact to store in the ledger.
 type Record struct{ ledger.Record }
 
-// Observe tells how one call ended, for health, time estimates and load.
+// Observe reports how one call ended, for health tracking, time estimates and
+// load.
 type Observe struct {
 	CallID   wire.CallID
 	Pool     string
 	Stage    string
 	Endpoint string
 	Outcome  route.CallOutcome
-	// Took is from the Call to its end as seen here.
+	// Took is the time from the Call until its end as seen by this entry.
 	Took time.Duration
-	// Queued and Ran are the agent's word on the time it kept the call waiting
-	// and the time on the endpoint; zero when no agent answered.
+	// Queued and Ran are, as reported by the agent, the time that the call
+	// waited and the time that it ran on the endpoint; zero if no agent
+	// answered.
 	Queued, Ran time.Duration
-	// Revoked: the call had been revoked, so that its outcome says nothing of
-	// the endpoint's health.
+	// Revoked is true when the call had been revoked, so that its outcome says
+	// nothing about the endpoint's health.
 	Revoked bool
-	// Late: the request had already ended.
+	// Late is true when the request had already ended.
 	Late bool
-	// Crashed, Companions and Fingerprint are for logs; Suspects is told by the core.
+	// Crashed, Companions and Fingerprint are for logs only: the core itself
+	// reports crashes to Suspects.
 	Crashed     bool
 	Companions  int
 	Fingerprint string
@@ -139,12 +147,13 @@
 	Report *wire.AgentReport
 }
 
-// Cost is work to be accounted to a stage.
+// Cost is work to be charged to a stage.
 type Cost struct {
 	Pipeline string
 	Stage    string
 	Account  string
-	// Useful work led to a complete answer; the rest is wasted.
+	// Useful is true for work that led to a complete answer; all other work is
+	// wasted.
 	Useful bool
 	Amount time.Duration
 }
--- a/pipeline/ejected.go
+++ b/pipeline/ejected.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// EndpointEjected takes in that an endpoint is no longer trusted and returns
-// what is to be done for the calls that wait on it: those that may run twice get
-// a second attempt elsewhere, as far as time and the budget allow, the oldest
-// first. The first attempts go on; an endpoint that is only slow may still answer.
-// Of a stream, the pieces of whichever attempt is ahead reach the caller, as long
-// as both say the same.
+// EndpointEjected handles the ejection of an endpoint and returns the effects
+// for the calls that wait for it. A call that may be repeated gets a second
+// attempt on another endpoint, as far as time and the budget allow, oldest
+// request first. The first attempt continues, as an endpoint that is only slow
+// may still answer. In a stream, the caller gets the chunks of whichever
+// attempt is ahead, as long as the outputs agree.
 //
-// It takes the shards one after the other, and unlike Handle it is no event of
-// one request.
+// Unlike Handle, it affects requests of all shards; it locks one shard at a
+// time.
 func (c *Core) EndpointEjected(now time.Time, endpoint string) []Effect {
 	var effects []Effect
 	for i := range c.shards {
@@ -27,34 +27,35 @@
 func (c *Core) shardEjected(now time.Time, endpoint string, s *shard) []Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var stuck []*request
+	var affected []*request
 	for _, r := range s.requests {
-		if r.stuckOn(endpoint) {
-			stuck = append(stuck, r)
+		if r.waitsOnlyOn(endpoint) {
+			affected = append(affected, r)
 		}
 	}
-	slices.SortFunc(stuck, func(a, b *request) int {
+	slices.SortFunc(affected, func(a, b *request) int {
 		return cmp.Or(a.admitted.Compare(b.admitted), strings.Compare(a.RequestID, b.RequestID))
 	})
 	var effects []Effect
-	for _, r := range stuck {
-		t := &turn{core: c, shard: s, r: r, now: now}
+	for _, r := range affected {
+		t := &transition{core: c, shard: s, r: r, now: now}
 		if need := t.need(); r.giveUpAt.Sub(now) >= need {
-			t.startHedge(always)
+			t.startHedge(anyEndpoint)
 		}
 		effects = append(effects, t.effects...)
 	}
 	return effects
 }
 
-// stuckOn tells whether the request waits for the endpoint alone.
-func (r *request) stuckOn(endpoint string) bool {
+// waitsOnlyOn reports whether all running attempts of the current stage, at
+// least one, are on the endpoint and the stage may be repeated.
+func (r *request) waitsOnlyOn(endpoint string) bool {
 	if r.phase != running || r.stageAt(r.stage).Unrepeatable {
 		return false
 	}
 	waits := false
 	for _, a := range r.attempts {
-		if a.stage != r.stage || a.over() {
+		if a.stage != r.stage || a.ended() {
 			continue
 		}
 		if a.endpoint != endpoint {
--- a/pipeline/event.go
+++ b/pipeline/event.go
@@ -14,34 +14,37 @@
 	requestID() string
 }
 
-// Admit starts a request that passed authentication, limits and admission.
+// Admit starts a request that has passed authentication, rate limits and
+// admission.
 type Admit struct {
 	RequestID string
-	// Ref is the shell's own number for the waiting caller; Reply and Chunk
-	// echo it. It tells two sendings of one held ID apart.
+	// Ref identifies the waiting caller in the shell; Reply and Chunk return
+	// it. It distinguishes two submissions of one held ID.
 	Ref      uint64
 	Identity wire.Identity
 	Account  *bundle.Account
-	// Bundle and Pipeline are the version that the request keeps to its end.
+	// Bundle and Pipeline are the versions that the request uses until it ends.
 	Bundle   *bundle.Bundle
 	Pipeline *bundle.Pipeline
-	// Deadline is for all stages together.
+	// Deadline applies to all stages together.
 	Deadline time.Time
 	Input    json.RawMessage
-	// Stream asks for the pieces of the last stage's output as they come.
+	// Stream requests the chunks of the last stage's output as they arrive.
 	Stream bool
-	// Bindings names, by stage, the only agent run that may execute an
+	// Bindings gives, by stage name, the only agent run that may execute an
 	// unrepeatable stage. Binding.Agent is the name of its endpoint.
 	Bindings map[string]wire.Binding
-	// MayHaveEarlier: another entry, or this one, may have been sent the same
-	// identity before.
+	// MayHaveEarlier is true when the same identity may have been submitted
+	// before, to this entry or another.
 	MayHaveEarlier bool
-	// AffinityHash groups requests that share a prompt prefix; zero for none.
+	// AffinityHash groups requests that share a prompt prefix; zero if there is
+	// none.
 	AffinityHash uint64
 }
 
-// Refuse is a request that the shell turned away before any call. The core
-// finds out whether it may be called "refused".
+// Refuse is a request that the shell rejected before any call. The core
+// determines whether its outcome is "refused" or an earlier submission may have
+// run.
 type Refuse struct {
 	Admit
 	Reason     api.Reason
@@ -49,18 +52,19 @@
 	RetryAfter time.Duration
 }
 
-// StageChunk is a piece of a streamed result. The shell delivers those of a
-// call in their order and before its StageResult.
+// StageChunk is a chunk of streamed output. The shell delivers the chunks of a
+// call in order and before its StageResult.
 type StageChunk struct{ wire.StageChunk }
 
 // StageResult is an agent's reply to a Call. The shell checks that the echoed
-// ID is that of the call; one with another ID is a CallLost.
+// ID is that of the call, and reports a reply with another ID as CallLost.
 type StageResult struct{ wire.StageResult }
 
 // CallNotWritten means that no complete message of the call left the process.
 type CallNotWritten struct{ CallID wire.CallID }
 
-// CallLost means that the call was, or may have been, written and no reply came.
+// CallLost means that the call was, or may have been, written and no reply
+// arrived.
 type CallLost struct{ CallID wire.CallID }
 
 // RevokeAck is an agent's reply to a Revoke.
@@ -69,10 +73,10 @@
 	wire.RevokeResult
 }
 
-// RevokeLost means that no reply to a Revoke came.
+// RevokeLost means that no reply to a Revoke arrived.
 type RevokeLost struct{ CallID wire.CallID }
 
-// PeekReply is an owner's reply to a SendPeek, whose Seq it repeats.
+// PeekReply is an owner's reply to a SendPeek; Seq is that of the SendPeek.
 type PeekReply struct {
 	RequestID string
 	Seq       uint64
@@ -80,21 +84,21 @@
 	wire.PeekResult
 }
 
-// PeekLost means that no reply to a SendPeek came.
+// PeekLost means that no reply to a SendPeek arrived.
 type PeekLost struct {
 	RequestID string
 	Seq       uint64
 	Stage     string
 }
 
-// Timer is a SetTimer that has come due.
+// Timer reports that the time of a SetTimer has come.
 type Timer struct {
 	RequestID string
 	Kind      TimerKind
 	Seq       uint64
 }
 
-// CallerGone means that nobody waits for the reply any more.
+// CallerGone means that the caller no longer waits for the reply.
 type CallerGone struct {
 	RequestID string
 	Ref       uint64
--- a/pipeline/finish.go
+++ b/pipeline/finish.go
@@ -8,7 +8,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// transient reasons pass with time, so that coming back makes sense.
+// transient holds the reasons that pass with time, so that the client may try
+// again later.
 var transient = map[api.Reason]bool{
 	api.ReasonRateLimited:      true,
 	api.ReasonOverloaded:       true,
@@ -23,14 +24,14 @@
 	api.ReasonConnectionLost:   true,
 }
 
-// answer ends the request with the last stage's complete output.
-func (t *turn) answer() {
+// answer ends the request with the complete output of the last stage.
+func (t *transition) answer() {
 	r := t.r
 	t.close(api.OutcomeAnswered, cause{}, api.Final{Answer: &api.Answer{
 		RequestID:     r.RequestID,
 		Outcome:       api.OutcomeAnswered,
 		Pipeline:      r.Pipeline.Name,
-		Output:        r.previous,
+		Output:        r.prevOutput,
 		Stages:        r.stageRuns(),
 		Replayed:      r.replayed,
 		BundleVersion: r.Bundle.Version,
@@ -38,11 +39,12 @@
 }
 
 // finish ends the request without an answer.
-func (t *turn) finish(outcome api.Outcome, c cause) {
+func (t *transition) finish(outcome api.Outcome, c cause) {
 	t.close(outcome, c, problem(t.r, outcome, c))
 }
 
-// problem leaves out what follows from the reason alone: type, title and status.
+// problem builds the Problem of a request that ends without an answer. It
+// leaves out type, title and status, which follow from the reason.
 func problem(r *request, outcome api.Outcome, c cause) api.Final {
 	return api.Final{Problem: &api.Problem{
 		RequestID:  r.RequestID,
@@ -54,10 +56,11 @@
 	}}
 }
 
-// retryAfter is when coming back makes sense; zero means that it does not.
+// retryAfter returns the delay after which the client may try again; zero means
+// that trying again cannot help.
 func retryAfter(r *request, c cause) time.Duration {
 	for _, a := range r.attempts {
-		if r.stageAt(a.stage).Unrepeatable && !r.mayComeBack(a) {
+		if r.stageAt(a.stage).Unrepeatable && !r.retryMayHelp(a) {
 			return 0
 		}
 	}
@@ -65,18 +68,18 @@
 		return c.retryAfter
 	}
 	if transient[c.reason] {
-		return retryAfterDefault
+		return defaultRetryAfter
 	}
 	return 0
 }
 
-// mayComeBack tells whether sending the request again can help after an
-// attempt of an unrepeatable stage. With a minted ID it would run the stage
+// retryMayHelp reports whether submitting the request again can help after an
+// attempt of an unrepeatable stage. With a minted ID, it would run the stage
 // again as another request; otherwise the owner repeats a finished result, but
-// never one that failed or got lost.
-func (r *request) mayComeBack(a *attempt) bool {
+// never one that failed or was lost.
+func (r *request) retryMayHelp(a *attempt) bool {
 	switch {
-	case a.knowledge == notRun:
+	case a.execState == notRun:
 		return true
 	case r.Identity.Kind == wire.IdentityMinted:
 		return false
@@ -84,11 +87,11 @@
 	return a.result == nil || a.done()
 }
 
-// close replies, accounts for the work, and forgets the request.
-func (t *turn) close(outcome api.Outcome, c cause, final api.Final) {
+// close sends the reply, accounts for the work and removes the request.
+func (t *transition) close(outcome api.Outcome, c cause, final api.Final) {
 	r := t.r
 	t.stopWaiting()
-	r.ended = true
+	r.replied = true
 	t.emit(Reply{RequestID: r.RequestID, Ref: r.Ref, Final: final})
 	for _, a := range r.attempts {
 		t.closeAttempt(a, outcome)
@@ -101,9 +104,11 @@
 	t.core.inFlight.Add(-1)
 }
 
-func (t *turn) closeAttempt(a *attempt, outcome api.Outcome) {
+// closeAttempt revokes the attempt if it is still running, charges its cost
+// and, if its cost may still be reported, remembers it as a late call.
+func (t *transition) closeAttempt(a *attempt, outcome api.Outcome) {
 	r := t.r
-	if !a.over() {
+	if !a.ended() {
 		t.revoke(a)
 		t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: a.state(), Took: t.now.Sub(a.sentAt),
 			Detail: "not answered when the request ended"})
@@ -112,19 +117,19 @@
 		t.emit(Cost{Pipeline: r.Pipeline.Name, Stage: a.id.Stage, Account: r.Account.Name,
 			Useful: outcome == api.OutcomeAnswered && r.won(a), Amount: a.cost})
 	}
-	if !a.open() {
+	if !a.mayReportCost() {
 		return
 	}
 	if a.result != nil {
-		// Only the cost is still of interest; the output may be large.
+		// Only the cost is still needed; the output may be large.
 		a.result = &wire.StageResult{ID: a.id, Status: a.result.Status}
 	}
 	evicted := t.shard.late.add(&lateCall{attempt: a, pipeline: r.Pipeline.Name, account: r.Account.Name,
-		fingerprint: r.content(a.stage)})
-	if evicted != nil && !evicted.over() {
+		fingerprint: r.contentKey(a.stage)})
+	if evicted != nil && !evicted.ended() {
 		t.core.cfg.Suspects.Ended(evicted.fingerprint, t.now)
 	}
 }
 
-// won tells whether a is the first complete result of its stage, the one that was used.
+// won reports whether a delivered the result that was used for its stage.
 func (r *request) won(a *attempt) bool { return r.winners[a.stage] == a }
--- a/pipeline/late.go
+++ b/pipeline/late.go
@@ -17,8 +17,8 @@
 	fingerprint string
 }
 
-// lateCalls remembers a bounded number of them, oldest dropped first. They
-// serve accounting alone; no outcome depends on them.
+// lateCalls remembers a bounded number of late calls and evicts the oldest
+// first. They are used for accounting only; no outcome depends on them.
 type lateCalls struct {
 	byID  map[wire.CallID]*lateCall
 	order []wire.CallID
@@ -29,7 +29,7 @@
 	return lateCalls{byID: make(map[wire.CallID]*lateCall), order: make([]wire.CallID, limit)}
 }
 
-// add returns the call that made room, or nil.
+// add remembers a call and returns the evicted one, or nil.
 func (l *lateCalls) add(call *lateCall) *lateCall {
 	evicted := l.byID[l.order[l.next]]
 	delete(l.byID, l.order[l.next])
@@ -39,9 +39,9 @@
 	return evicted
 }
 
-// lateResult takes in a result that is never delivered: its request has ended,
-// or the attempt had another result before.
-func (t *turn) lateResult(res wire.StageResult) {
+// onLateResult handles a result that is never delivered, because its request
+// has ended or the attempt already had a result.
+func (t *transition) onLateResult(res wire.StageResult) {
 	t.emit(Record{ledger.Record{
 		Request: res.ID.Request, At: t.now, Process: t.core.cfg.Entry, Kind: ledger.KindDropped,
 		Stage: res.ID.Stage, Entry: res.ID.Entry, Attempt: res.ID.Attempt, Endpoint: res.Report.Endpoint,
@@ -51,14 +51,15 @@
 	if call == nil {
 		return
 	}
-	if !call.over() {
+	if !call.ended() {
 		call.lost = true
-		t.endLate(call, res)
+		t.endLateCall(call, res)
 	}
-	t.lateCost(res.ID, res.Cost)
+	t.addLateCost(res.ID, res.Cost)
 }
 
-func (t *turn) endLate(call *lateCall, res wire.StageResult) {
+// endLateCall reports the end of a late call to Suspects and the shell.
+func (t *transition) endLateCall(call *lateCall, res wire.StageResult) {
 	s := t.core.cfg.Suspects
 	switch {
 	case res.Crashed:
@@ -74,10 +75,11 @@
 	t.emit(o)
 }
 
-// lateEnd takes in the end, without a reply, of a call whose request has ended.
-func (t *turn) lateEnd(id wire.CallID) {
+// onLateEnd handles the end, without a reply, of a call whose request has
+// ended.
+func (t *transition) onLateEnd(id wire.CallID) {
 	call := t.shard.late.byID[id]
-	if call == nil || call.over() {
+	if call == nil || call.ended() {
 		return
 	}
 	call.lost = true
@@ -92,9 +94,10 @@
 	}
 }
 
-// lateCost accounts for what a reply names beyond what was named before, of a
-// call whose request has ended or whose earlier reply was taken.
-func (t *turn) lateCost(id wire.CallID, cost time.Duration) {
+// addLateCost accounts for the cost that a reply reports in excess of the cost
+// already known for the call. Its request has ended or an earlier reply to it
+// was accepted.
+func (t *transition) addLateCost(id wire.CallID, cost time.Duration) {
 	if a := t.attempt(id); a != nil {
 		a.cost = max(a.cost, cost)
 		return
--- a/pipeline/model_test.go
+++ b/pipeline/model_test.go
@@ -22,53 +22,55 @@
 
 var epoch = time.UnixMilli(1_764_700_000_000)
 
-// world is a naive model of everything around a Core: a clock, endpoints with
-// their agents, connections that lose, delay and repeat messages, and callers.
-// It keeps what truly happened, to hold the core's words against.
-type world struct {
+// simulation is a simple model of the environment of a Core: a clock, endpoints
+// with their agents, connections that lose, delay and repeat messages, and
+// callers. It records what actually ran, to check the core's replies against
+// it.
+type simulation struct {
 	*rapid.T
-	core   *Core
-	now    time.Time
-	queue  []due
-	frozen time.Time
-	paused bool
-
-	bundle   *bundle.Bundle
-	agents   map[string]*agentModel
-	sendings map[string]*sending
-	admits   map[uint64]*sending
-	runs     []*run
-	costs    map[wire.CallID]time.Duration
-	useful   time.Duration
-	wasted   time.Duration
-	finals   int
-	ends     map[wire.CallID]int
-	// picked is the incarnation last picked of each endpoint, calls are those made.
+	core        *Core
+	now         time.Time
+	queue       []scheduledEvent
+	pausedUntil time.Time
+	paused      bool
+
+	bundle      *bundle.Bundle
+	agents      map[string]*agentModel
+	active      map[string]*submission
+	submissions map[uint64]*submission
+	runs        []*run
+	costs       map[wire.CallID]time.Duration
+	useful      time.Duration
+	wasted      time.Duration
+	finals      int
+	endCounts   map[wire.CallID]int
+	// picked is the incarnation last picked of each endpoint; calls holds the
+	// evidence about each call made.
 	picked   map[string]string
-	calls    map[wire.CallID]*callWord
-	suspects openRuns
+	calls    map[wire.CallID]*callEvidence
+	suspects runCounter
 }
 
-type due struct {
+type scheduledEvent struct {
 	at  time.Time
 	run func()
 }
 
-// sending is one Admit or Refuse as its caller sees it.
-type sending struct {
+// submission is one Admit or Refuse as its caller sees it.
+type submission struct {
 	Admit
-	index   int
-	reply   *Reply
-	replies int
-	at      time.Time
-	text    string
-	chunks  int
+	index     int
+	reply     *Reply
+	replies   int
+	repliedAt time.Time
+	text      string
+	chunks    int
 }
 
 type agentModel struct {
 	name, incarnation string
 	restarts          int
-	barred            map[wire.CallID]bool
+	rejected          map[wire.CallID]bool
 	calls             map[wire.CallID]*run
 	identities        map[string]*run
 }
@@ -88,12 +90,12 @@
 	finished func(wire.StageResult)
 }
 
-type openRuns struct{ n int }
+type runCounter struct{ n int }
 
-func (o *openRuns) Begin(string, time.Time) suspect.Verdict  { o.n++; return suspect.Verdict{} }
-func (o *openRuns) Crashed(string, suspect.Crash, time.Time) { o.n-- }
-func (o *openRuns) Succeeded(string, time.Time)              { o.n-- }
-func (o *openRuns) Ended(string, time.Time)                  { o.n-- }
+func (o *runCounter) Begin(string, time.Time) suspect.Verdict  { o.n++; return suspect.Verdict{} }
+func (o *runCounter) Crashed(string, suspect.Crash, time.Time) { o.n-- }
+func (o *runCounter) Succeeded(string, time.Time)              { o.n-- }
+func (o *runCounter) Ended(string, time.Time)                  { o.n-- }
 
 type fixedQuantile time.Duration
 
@@ -101,10 +103,10 @@
 	return route.Estimate{Value: time.Duration(f), Samples: 1}
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{T: t, now: epoch, agents: make(map[string]*agentModel), sendings: make(map[string]*sending),
-		admits: make(map[uint64]*sending), costs: make(map[wire.CallID]time.Duration),
-		ends: make(map[wire.CallID]int), picked: make(map[string]string), calls: make(map[wire.CallID]*callWord)}
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{T: t, now: epoch, agents: make(map[string]*agentModel), active: make(map[string]*submission),
+		submissions: make(map[uint64]*submission), costs: make(map[wire.CallID]time.Duration),
+		endCounts: make(map[wire.CallID]int), picked: make(map[string]string), calls: make(map[wire.CallID]*callEvidence)}
 	w.paused = w.chance("paused", 20)
 	w.bundle = &bundle.Bundle{Version: 7, Policy: bundle.Policy{MaxAttempts: 3}}
 	if w.chance("hedges", 50) {
@@ -120,20 +122,20 @@
 	return w
 }
 
-func (w *world) chance(label string, percent int) bool {
+func (w *simulation) chance(label string, percent int) bool {
 	return rapid.IntRange(0, 99).Draw(w.T, label) >= 100-percent
 }
 
-func (w *world) span(label string, most int) time.Duration {
+func (w *simulation) randomDelay(label string, most int) time.Duration {
 	return time.Duration(rapid.IntRange(0, most).Draw(w.T, label)) * ms
 }
 
-func (w *world) after(d time.Duration, f func()) {
-	w.queue = append(w.queue, due{w.now.Add(d), f})
+func (w *simulation) schedule(d time.Duration, f func()) {
+	w.queue = append(w.queue, scheduledEvent{w.now.Add(d), f})
 }
 
-// run carries on until nothing is left to happen.
-func (w *world) run() {
+// run executes the scheduled events in order of time until none is left.
+func (w *simulation) run() {
 	for len(w.queue) > 0 {
 		next := 0
 		for i := range w.queue {
@@ -150,39 +152,41 @@
 	}
 }
 
-// deliver gives an event to the core, or holds it while the process is paused.
-func (w *world) deliver(ev Event) {
-	if w.paused && !w.now.Before(w.frozen) && w.chance("pause", 5) {
-		w.frozen = w.now.Add(w.span("pause for", 400))
+// deliver passes an event to the core, or delays it while the process is
+// paused.
+func (w *simulation) deliver(ev Event) {
+	if w.paused && !w.now.Before(w.pausedUntil) && w.chance("pause", 5) {
+		w.pausedUntil = w.now.Add(w.randomDelay("pause for", 400))
 	}
-	if w.now.Before(w.frozen) {
-		w.after(w.frozen.Sub(w.now), func() { w.deliver(ev) })
+	if w.now.Before(w.pausedUntil) {
+		w.schedule(w.pausedUntil.Sub(w.now), func() { w.deliver(ev) })
 		return
 	}
-	w.learn(ev)
+	w.recordEvidence(ev)
 	switch e := ev.(type) {
 	case Admit:
-		w.enter(e)
+		w.activate(e)
 	case Refuse:
-		w.enter(e.Admit)
+		w.activate(e.Admit)
 	case StageResult:
 		w.costs[e.ID] = max(w.costs[e.ID], e.Cost)
 	case RevokeAck:
 		w.costs[e.CallID] = max(w.costs[e.CallID], e.Cost)
 	}
 	for _, effect := range w.core.Handle(w.now, ev) {
-		w.carryOut(effect)
+		w.apply(effect)
 	}
 }
 
-// enter makes a sending the one that calls of its request ID belong to.
-func (w *world) enter(a Admit) {
-	if first := w.sendings[a.RequestID]; first == nil || first.reply != nil {
-		w.sendings[a.RequestID] = w.admits[a.Ref]
+// activate makes a submission the one to which calls of its request ID belong,
+// unless an earlier one is still running.
+func (w *simulation) activate(a Admit) {
+	if first := w.active[a.RequestID]; first == nil || first.reply != nil {
+		w.active[a.RequestID] = w.submissions[a.Ref]
 	}
 }
 
-func (w *world) carryOut(effect Effect) {
+func (w *simulation) apply(effect Effect) {
 	switch e := effect.(type) {
 	case Call:
 		w.onCall(e)
@@ -191,16 +195,16 @@
 	case SendPeek:
 		w.onPeek(e)
 	case SetTimer:
-		w.after(e.At.Sub(w.now), func() { w.deliver(Timer{e.RequestID, e.Kind, e.Seq}) })
+		w.schedule(e.At.Sub(w.now), func() { w.deliver(Timer{e.RequestID, e.Kind, e.Seq}) })
 	case Chunk:
-		s := w.admits[e.Ref]
+		s := w.submissions[e.Ref]
 		assert.Assert(w, s.reply == nil && e.Seq == s.chunks, "chunk %d", e.Seq)
 		s.chunks++
 		s.text += e.Text
 	case Reply:
-		s := w.admits[e.Ref]
+		s := w.submissions[e.Ref]
 		s.replies++
-		s.reply, s.at = &e, w.now
+		s.reply, s.repliedAt = &e, w.now
 	case Cost:
 		if e.Useful {
 			w.useful += e.Amount
@@ -208,8 +212,8 @@
 			w.wasted += e.Amount
 		}
 	case Observe:
-		w.ends[e.CallID]++
-		assert.Equal(w, w.ends[e.CallID], 1, "%s ended again", e.CallID)
+		w.endCounts[e.CallID]++
+		assert.Equal(w, w.endCounts[e.CallID], 1, "%s ended twice", e.CallID)
 	case Record:
 		if e.Kind == ledger.KindFinal {
 			w.finals++
@@ -217,18 +221,19 @@
 	}
 }
 
-// Pick implements Picker by chance; it may believe in an agent that is gone.
-func (w *world) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
+// Pick implements Picker with a random choice; the chosen agent may already
+// have been replaced.
+func (w *simulation) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
 	var names []string
 	for i := range 3 {
 		name := fmt.Sprint(req.Pool, i)
-		if !w.excluded(req, name) && (req.Only == "" || req.Only == name) {
+		if !w.isExcluded(req, name) && (req.Only == "" || req.Only == name) {
 			names = append(names, name)
 		}
 	}
 	silent := !req.HeardSince.IsZero() && w.chance("silent", 50)
 	if len(names) == 0 || silent || w.chance("none available", 5) {
-		w.after(w.span("away", 200), func() { w.back(req.Pool) })
+		w.schedule(w.randomDelay("away", 200), func() { w.endpointsBack(req.Pool) })
 		return route.Decision{MayReturn: w.chance("may return", 80)}
 	}
 	a := w.agents[rapid.SampledFrom(names).Draw(w.T, "pick")]
@@ -241,9 +246,9 @@
 	return route.Decision{Endpoint: e}
 }
 
-// excluded tells whether the request was sent to the endpoint, which has not
-// come back since.
-func (w *world) excluded(req *route.Request, name string) bool {
+// isExcluded reports whether the request was already sent to the endpoint and
+// the endpoint has not returned since.
+func (w *simulation) isExcluded(req *route.Request, name string) bool {
 	for _, t := range req.Tried {
 		if t.Endpoint == name && (t.LostAt.IsZero() || w.chance("still away", 50)) {
 			return true
@@ -252,78 +257,82 @@
 	return false
 }
 
-// back tells the core that endpoints of a pool are back.
-func (w *world) back(pool string) {
-	if w.now.Before(w.frozen) {
-		w.after(w.frozen.Sub(w.now), func() { w.back(pool) })
+// endpointsBack reports to the core that endpoints of a pool are available
+// again.
+func (w *simulation) endpointsBack(pool string) {
+	if w.now.Before(w.pausedUntil) {
+		w.schedule(w.pausedUntil.Sub(w.now), func() { w.endpointsBack(pool) })
 		return
 	}
 	for _, effect := range w.core.EndpointsBack(w.now, pool, rapid.IntRange(1, 3).Draw(w.T, "places")) {
-		w.carryOut(effect)
+		w.apply(effect)
 	}
 }
 
-// Decide implements Retrier without any care, so that what must hold whatever
-// the policy is the core's own doing.
-func (w *world) Decide(retry.Failure, time.Time) retry.Verdict {
+// Decide implements Retrier without checking anything, so that rules that hold
+// for every policy are tested in the core alone.
+func (w *simulation) Decide(retry.Failure, time.Time) retry.Verdict {
 	return retry.Verdict{Retry: w.chance("retry", 80)}
 }
 
 // Hedge implements Retrier.
-func (w *world) Hedge(string, time.Time) bool { return w.chance("hedge", 80) }
+func (w *simulation) Hedge(string, time.Time) bool { return w.chance("hedge", 80) }
 
-func (w *world) restart(a *agentModel) {
+func (w *simulation) restart(a *agentModel) {
 	a.restarts++
 	a.incarnation = fmt.Sprint(a.name, "/", a.restarts)
-	a.barred = make(map[wire.CallID]bool)
+	a.rejected = make(map[wire.CallID]bool)
 	a.calls = make(map[wire.CallID]*run)
 	a.identities = make(map[string]*run)
 	w.agents[a.name] = a
 }
 
-func (w *world) report(a *agentModel) wire.AgentReport {
+func (w *simulation) report(a *agentModel) wire.AgentReport {
 	return wire.AgentReport{Process: wire.Process{Name: a.name, Incarnation: a.incarnation}, Endpoint: a.name}
 }
 
-// flight is a call's way to the agent and back; it ends once for the core.
-type flight struct {
-	ended bool
-	last  time.Time
+// transit is the state of a call and its replies in the network; for the core
+// the call ends once.
+type transit struct {
+	ended       bool
+	lastArrival time.Time
 }
 
-// callWord is what the core was told of a call.
-type callWord struct {
+// callEvidence is what the core has been told about a call.
+type callEvidence struct {
 	// agent is the incarnation that was called.
 	agent string
-	// notReached: it got to no endpoint. reached: it did or may have.
+	// notReached is true when the call is proved not to have reached an
+	// endpoint, reached when it did or may have.
 	notReached, reached bool
 }
 
-// learn notes what an event tells of a call.
-func (w *world) learn(ev Event) {
+// recordEvidence records what an event shows about a call.
+func (w *simulation) recordEvidence(ev Event) {
 	switch e := ev.(type) {
 	case CallNotWritten:
-		w.told(e.CallID, true)
+		w.setReached(e.CallID, true)
 	case StageResult:
-		w.told(e.ID, e.Status == wire.StatusRefused && e.Reason == api.ReasonNoEndpoint)
+		w.setReached(e.ID, e.Status == wire.StatusRefused && e.Reason == api.ReasonNoEndpoint)
 	case RevokeAck:
 		notRun := e.State == wire.RevokedNotRun
 		if call := w.calls[e.CallID]; call != nil && (!notRun || call.agent == e.Report.Process.Incarnation) {
-			w.told(e.CallID, notRun)
+			w.setReached(e.CallID, notRun)
 		}
 	}
 }
 
-func (w *world) told(id wire.CallID, notReached bool) {
+func (w *simulation) setReached(id wire.CallID, notReached bool) {
 	if call := w.calls[id]; call != nil {
 		call.notReached = call.notReached || notReached
 		call.reached = call.reached || !notReached
 	}
 }
 
-// assertMayCall: the calls of a stage that got to an endpoint or may have, this one
-// included, are no more than the policy allows, and those that did not are bounded.
-func (w *world) assertMayCall(c Call) {
+// assertMayCall checks that the calls of a stage that reached an endpoint or
+// may have, including this one, are no more than the policy allows, and that
+// those that did not are bounded.
+func (w *simulation) assertMayCall(c Call) {
 	reached, all := 1, 1
 	for id, call := range w.calls {
 		if id.Request != c.ID.Request || id.Stage != c.ID.Stage || id.Entry != c.ID.Entry {
@@ -336,15 +345,15 @@
 	}
 	assert.Assert(w, reached <= w.bundle.Policy.MaxAttempts, "%d calls of a stage may have reached an endpoint", reached)
 	assert.Assert(w, all <= w.bundle.Policy.MaxAttempts+maxNotReached, "%d calls of a stage", all)
-	w.calls[c.ID] = &callWord{agent: w.picked[c.Endpoint]}
+	w.calls[c.ID] = &callEvidence{agent: w.picked[c.Endpoint]}
 }
 
-func (w *world) onCall(c Call) {
-	s := w.sendings[c.ID.Request]
+func (w *simulation) onCall(c Call) {
+	s := w.active[c.ID.Request]
 	assert.Assert(w, w.now.Before(c.Deadline) && c.Budget == c.Deadline.Sub(w.now))
 	w.assertMayCall(c)
 	assert.Assert(w, c.Binding == nil || c.Binding.Agent == c.Endpoint, "bound to %v", c.Binding)
-	a, f := w.agents[c.Endpoint], &flight{}
+	a, f := w.agents[c.Endpoint], &transit{}
 	incarnation := a.incarnation
 	end := func(ev Event) func() {
 		return func() {
@@ -355,12 +364,12 @@
 		}
 	}
 	if w.chance("not written", 10) {
-		w.after(w.span("way", 5), end(CallNotWritten{c.ID}))
+		w.schedule(w.randomDelay("way", 5), end(CallNotWritten{c.ID}))
 		return
 	}
-	w.after(c.Deadline.Sub(w.now)+500*ms, end(CallLost{c.ID}))
+	w.schedule(c.Deadline.Sub(w.now)+500*ms, end(CallLost{c.ID}))
 	if w.chance("connection cut", 10) {
-		w.after(w.span("cut", 60), func() {
+		w.schedule(w.randomDelay("cut", 60), func() {
 			if a.incarnation == incarnation && w.chance("agent died", 30) {
 				w.restart(a)
 			}
@@ -371,21 +380,21 @@
 		}
 	}
 	index := s.index
-	w.after(w.span("way", rapid.SampledFrom([]int{5, 400}).Draw(w.T, "slow")), func() {
+	w.schedule(w.randomDelay("way", rapid.SampledFrom([]int{5, 400}).Draw(w.T, "slow")), func() {
 		if a.incarnation != incarnation {
 			end(CallLost{c.ID})()
 			return
 		}
-		w.arrive(a, &run{call: c.StageCall, index: index}, f, func(res wire.StageResult) {
+		w.receiveCall(a, &run{call: c.StageCall, index: index}, f, func(res wire.StageResult) {
 			if a.incarnation != incarnation || w.chance("reply lost", 5) {
-				w.after(w.span("cut", 60), end(CallLost{c.ID}))
+				w.schedule(w.randomDelay("cut", 60), end(CallLost{c.ID}))
 				return
 			}
 			res.ID, res.Report = c.ID, w.report(a)
-			back := max(w.span("way", 5), f.last.Sub(w.now))
-			w.after(back, end(StageResult{res}))
+			back := max(w.randomDelay("way", 5), f.lastArrival.Sub(w.now))
+			w.schedule(back, end(StageResult{res}))
 			if w.chance("repeated", 5) {
-				w.after(back+w.span("again", 50), func() {
+				w.schedule(back+w.randomDelay("again", 50), func() {
 					if f.ended {
 						w.deliver(StageResult{res})
 					}
@@ -395,13 +404,13 @@
 	})
 }
 
-// arrive is the agent reading a call.
-func (w *world) arrive(a *agentModel, r *run, f *flight, reply func(wire.StageResult)) {
+// receiveCall is the agent receiving a call.
+func (w *simulation) receiveCall(a *agentModel, r *run, f *transit, reply func(wire.StageResult)) {
 	c := r.call
 	identity := c.Identity.Value + c.ID.Stage
 	switch held := a.identities[identity]; {
-	case a.barred[c.ID], !w.now.Before(c.Deadline), w.chance("refuse", 10):
-		a.barred[c.ID] = true
+	case a.rejected[c.ID], !w.now.Before(c.Deadline), w.chance("refuse", 10):
+		a.rejected[c.ID] = true
 		reply(w.refusal(a, c, held))
 		return
 	case c.Binding != nil && !w.owns(a, *c.Binding):
@@ -416,40 +425,41 @@
 	}
 	r.queued, r.finished = true, reply
 	a.calls[c.ID] = r
-	w.after(w.span("queue", 20), func() {
+	w.schedule(w.randomDelay("queue", 20), func() {
 		if r.stopped {
 			return
 		}
 		r.queued = false
 		if !w.now.Before(c.Deadline) || a.calls[c.ID] != r {
-			a.barred[c.ID] = true
+			a.rejected[c.ID] = true
 			reply(w.refusal(a, c, a.identities[identity]))
 			return
 		}
 		if c.Unrepeatable {
 			a.identities[identity] = r
 		}
-		w.start(r, f)
+		w.startRun(r, f)
 	})
 }
 
-// refusal says that nothing ran only if the agent knows that of earlier sendings too.
-func (w *world) refusal(a *agentModel, c wire.StageCall, held *run) wire.StageResult {
+// refusal is the agent's reply to a call that it does not run. It says that
+// nothing ran only if the agent knows that of earlier submissions too.
+func (w *simulation) refusal(a *agentModel, c wire.StageCall, held *run) wire.StageResult {
 	if held != nil || (c.Binding != nil && !w.owns(a, *c.Binding)) {
 		return wire.StageResult{Status: wire.StatusUnknown}
 	}
 	return wire.StageResult{Status: wire.StatusRefused, Reason: api.ReasonOverloaded}
 }
 
-func (w *world) owns(a *agentModel, b wire.Binding) bool {
+func (w *simulation) owns(a *agentModel, b wire.Binding) bool {
 	if b.Incarnation == "" {
 		return a.restarts == 0
 	}
 	return a.incarnation == b.Incarnation
 }
 
-// start is the endpoint beginning to work on a call.
-func (w *world) start(r *run, f *flight) {
+// startRun is the endpoint starting to work on a call.
+func (w *simulation) startRun(r *run, f *transit) {
 	r.started = w.now
 	w.runs = append(w.runs, r)
 	variant := 0
@@ -457,11 +467,11 @@
 		variant = 1
 	}
 	r.output = fmt.Sprintf("%s.%d(%s|%s)", r.call.ID.Stage, variant, r.call.Previous, r.call.Input)
-	took := w.span("run", rapid.SampledFrom([]int{20, 400}).Draw(w.T, "straggler"))
+	took := w.randomDelay("run", rapid.SampledFrom([]int{20, 400}).Draw(w.T, "straggler"))
 	if r.call.Stream {
 		w.stream(r, f, took)
 	}
-	w.after(took, func() {
+	w.schedule(took, func() {
 		if r.stopped {
 			return
 		}
@@ -481,17 +491,17 @@
 	})
 }
 
-func (w *world) stream(r *run, f *flight, took time.Duration) {
+func (w *simulation) stream(r *run, f *transit, took time.Duration) {
 	const pieces = 4
 	size := len(r.output)/pieces + 1
 	for i := range pieces {
 		chunk := wire.StageChunk{ID: r.call.ID, Seq: i, Text: r.output[min(i*size, len(r.output)):min((i+1)*size, len(r.output))]}
-		w.after(took*time.Duration(i)/pieces, func() {
+		w.schedule(took*time.Duration(i)/pieces, func() {
 			if r.stopped || w.chance("chunk lost", 3) {
 				return
 			}
-			f.last = w.now.Add(max(w.span("way", 5), f.last.Sub(w.now)))
-			w.after(f.last.Sub(w.now), func() {
+			f.lastArrival = w.now.Add(max(w.randomDelay("way", 5), f.lastArrival.Sub(w.now)))
+			w.schedule(f.lastArrival.Sub(w.now), func() {
 				if !f.ended {
 					w.deliver(StageChunk{chunk})
 				}
@@ -500,15 +510,15 @@
 	}
 }
 
-func (w *world) onRevoke(e Revoke) {
-	lost := func() { w.after(w.span("cut", 60), func() { w.deliver(RevokeLost{e.CallID}) }) }
+func (w *simulation) onRevoke(e Revoke) {
+	lost := func() { w.schedule(w.randomDelay("cut", 60), func() { w.deliver(RevokeLost{e.CallID}) }) }
 	if w.chance("revoke lost", 10) {
 		lost()
 		return
 	}
-	w.after(w.span("way", 20), func() {
+	w.schedule(w.randomDelay("way", 20), func() {
 		a := w.agents[e.Endpoint]
-		ack := RevokeAck{CallID: e.CallID, RevokeResult: wire.RevokeResult{Report: w.report(a), State: w.stop(a, e.CallID)}}
+		ack := RevokeAck{CallID: e.CallID, RevokeResult: wire.RevokeResult{Report: w.report(a), State: w.revokeCall(a, e.CallID)}}
 		if r := a.calls[e.CallID]; r != nil {
 			ack.Cost = r.cost
 		}
@@ -516,16 +526,16 @@
 			lost()
 			return
 		}
-		w.after(w.span("way", 20), func() { w.deliver(ack) })
+		w.schedule(w.randomDelay("way", 20), func() { w.deliver(ack) })
 	})
 }
 
-// stop is the agent reading a revocation.
-func (w *world) stop(a *agentModel, id wire.CallID) wire.RevokeState {
+// revokeCall is the agent receiving a revocation.
+func (w *simulation) revokeCall(a *agentModel, id wire.CallID) wire.RevokeState {
 	r := a.calls[id]
 	switch {
 	case r == nil:
-		a.barred[id] = true
+		a.rejected[id] = true
 		return wire.RevokedNotRun
 	case r.queued:
 		r.stopped, r.queued = true, false
@@ -533,7 +543,7 @@
 		return wire.RevokedNotRun
 	case r.ended:
 		return wire.RevokedDone
-	case r.stopped && r.started.IsZero(), a.barred[id]:
+	case r.stopped && r.started.IsZero(), a.rejected[id]:
 		return wire.RevokedNotRun
 	case !r.stopped:
 		r.stopped, r.cost = true, w.now.Sub(r.started)
@@ -542,12 +552,12 @@
 	return wire.RevokedRunning
 }
 
-func (w *world) onPeek(e SendPeek) {
+func (w *simulation) onPeek(e SendPeek) {
 	if w.chance("peek lost", 10) {
-		w.after(w.span("cut", 150), func() { w.deliver(PeekLost{e.RequestID, e.Seq, e.Stage}) })
+		w.schedule(w.randomDelay("cut", 150), func() { w.deliver(PeekLost{e.RequestID, e.Seq, e.Stage}) })
 		return
 	}
-	w.after(w.span("way", 20), func() {
+	w.schedule(w.randomDelay("way", 20), func() {
 		a := w.agents[e.Endpoint]
 		state := wire.PeekNever
 		switch r := a.identities[e.Identity.Value+e.Stage]; {
@@ -558,7 +568,7 @@
 		case r != nil:
 			state = wire.PeekRunning
 		}
-		w.after(w.span("way", 20), func() {
+		w.schedule(w.randomDelay("way", 20), func() {
 			w.deliver(PeekReply{e.RequestID, e.Seq, e.Stage, wire.PeekResult{State: state}})
 		})
 	})
--- a/pipeline/ports.go
+++ b/pipeline/ports.go
@@ -12,24 +12,28 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// The ports are called under a shard's lock. They must be safe for concurrent
-// use, return at once and not call the Core.
+// The core calls these interfaces while it holds a shard's lock.
+// Implementations must be safe for concurrent use, return at once and not call
+// the Core.
 
 // Picker chooses the endpoint of one attempt.
 type Picker interface {
 	Pick(now time.Time, policy *bundle.Policy, req *route.Request) route.Decision
 }
 
-// Retrier decides on further attempts; each retry.Policy is one.
+// Retrier decides on further attempts; every retry.Policy implements it.
 type Retrier interface {
-	// Decide judges a failed attempt and charges the budget if it is tried again.
+	// Decide decides whether a failed attempt is retried, and charges the
+	// budget if it is.
 	Decide(f retry.Failure, now time.Time) retry.Verdict
-	// Hedge tells whether a second, concurrent attempt may start, and charges it.
+	// Hedge reports whether a hedge may start, and charges the budget if it
+	// may.
 	Hedge(pool string, now time.Time) bool
 }
 
-// Suspects stops content that crashes endpoints; *suspect.Table is one. Each
-// Begin that doesn't refuse is followed by one of the other three.
+// Suspects refuses content that crashes endpoints; *suspect.Table implements
+// it. Each Begin that does not refuse is followed by exactly one call of
+// another method.
 type Suspects interface {
 	Begin(fingerprint string, now time.Time) suspect.Verdict
 	Crashed(fingerprint string, c suspect.Crash, now time.Time)
@@ -37,12 +41,12 @@
 	Ended(fingerprint string, now time.Time)
 }
 
-// Quantiles gives measured times of stages; *route.Estimator is one.
+// Quantiles returns measured times of stages; *route.Estimator implements it.
 type Quantiles interface {
 	Quantile(key route.StageKey, q float64, now time.Time) route.Estimate
 }
 
-// RouterPicker is a Picker over a route.Router and the current snapshot.
+// RouterPicker is a Picker that uses a route.Router and the current snapshot.
 type RouterPicker struct {
 	router   func(policy *bundle.Policy) route.Router
 	snapshot func(now time.Time) *route.Snapshot
@@ -50,7 +54,8 @@
 	rng      *rand.Rand
 }
 
-// NewRouterPicker returns a Picker; src is used by one goroutine at a time.
+// NewRouterPicker returns a RouterPicker; it uses src from one goroutine at a
+// time.
 func NewRouterPicker(
 	router func(policy *bundle.Policy) route.Router,
 	snapshot func(now time.Time) *route.Snapshot,
@@ -64,15 +69,16 @@
 	return p.router(policy).Pick(p.snapshot(now), req, now, p.fork())
 }
 
-// fork returns a source of its own for one decision, so that decisions of
-// several shards don't wait for each other.
+// fork returns a separate random source for one decision, so that decisions of
+// several shards do not wait for each other.
 func (p *RouterPicker) fork() *rand.Rand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return rand.New(rand.NewPCG(p.rng.Uint64(), p.rng.Uint64()))
 }
 
-// unlimitedRetrier has no budget: it looks only at repeatability and time.
+// unlimitedRetrier is the default Retrier. It has no budget and checks only
+// repeatability and the remaining time.
 type unlimitedRetrier struct{}
 
 func (unlimitedRetrier) Decide(f retry.Failure, _ time.Time) retry.Verdict {
--- a/pipeline/property_test.go
+++ b/pipeline/property_test.go
@@ -15,25 +15,25 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// A support engineer reads "refused" and tells the caller to order again; or
-// reads "answered" and closes the case. Either is wrong if a call sat in a
-// buffer, a reply was lost, a revocation raced with the start, an agent was
-// restarted or this process was paused, and the outcome was guessed. Here all
-// of it happens at random, and every word is held against what truly ran.
+// Guards against a guessed outcome: a caller that reads "refused" submits its
+// order again, and one that reads "answered" considers it done. Calls that wait
+// in a buffer, lost replies, revocations that race with the start, restarts of
+// agents and pauses of this process happen at random, and every reply is
+// checked against what actually ran.
 func TestOutcomesAreTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		n := rapid.IntRange(1, 5).Draw(t, "requests")
 		for i := range n {
-			w.after(w.span("arrival", 300), func() { w.request(i) })
+			w.schedule(w.randomDelay("arrival", 300), func() { w.submitRequest(i) })
 		}
 		w.run()
 		w.check()
 	})
 }
 
-// request lets a caller send one request, and perhaps the same ID again.
-func (w *world) request(i int) {
+// submitRequest submits one request, and perhaps its ID a second time.
+func (w *simulation) submitRequest(i int) {
 	kind := rapid.SampledFrom([]wire.IdentityKind{wire.IdentityMinted, wire.IdentityHeld, wire.IdentityKey}).Draw(w.T, "kind")
 	a := Admit{
 		RequestID: fmt.Sprint("request", i), Account: &bundle.Account{Name: "account"}, Bundle: w.bundle,
@@ -53,15 +53,15 @@
 		}
 	}
 	if a.MayHaveEarlier && w.chance("earlier sending", 30) {
-		w.ranEarlier(a)
+		w.addEarlierRun(a)
 	}
-	w.send(a, 1)
+	w.submit(a, 1)
 	if kind == wire.IdentityHeld && w.chance("sent twice", 40) {
-		w.after(w.span("again", 600), func() { w.send(a, 2) })
+		w.schedule(w.randomDelay("again", 600), func() { w.submit(a, 2) })
 	}
 }
 
-func (w *world) pipeline() *bundle.Pipeline {
+func (w *simulation) pipeline() *bundle.Pipeline {
 	p := &bundle.Pipeline{Name: "pipeline"}
 	unrepeatable := rapid.SampledFrom([]int{0, 40, 100}).Draw(w.T, "unrepeatable")
 	for i := range rapid.IntRange(1, 3).Draw(w.T, "stages") {
@@ -71,9 +71,10 @@
 	return p
 }
 
-// ranEarlier makes the first stage, if it can be told apart, a run of an
-// earlier sending through another entry.
-func (w *world) ranEarlier(a Admit) {
+// addEarlierRun adds a run of the first stage by an earlier submission through
+// another entry, unless an idempotency key without bindings makes each
+// submission a separate request.
+func (w *simulation) addEarlierRun(a Admit) {
 	stage := a.Pipeline.Stages[0]
 	b, bound := a.Bindings[stage.Name]
 	if !bound && a.Identity.Kind == wire.IdentityKey && len(a.Bindings) == 0 {
@@ -89,23 +90,23 @@
 	}
 }
 
-func (w *world) send(a Admit, index int) {
-	a.Ref = uint64(len(w.admits) + 1)
-	a.Deadline = w.now.Add(50*ms + w.span("deadline", 450))
-	w.admits[a.Ref] = &sending{Admit: a, index: index}
+func (w *simulation) submit(a Admit, index int) {
+	a.Ref = uint64(len(w.submissions) + 1)
+	a.Deadline = w.now.Add(50*ms + w.randomDelay("deadline", 450))
+	w.submissions[a.Ref] = &submission{Admit: a, index: index}
 	if w.chance("refused by the shell", 10) {
 		w.deliver(Refuse{Admit: a, Reason: api.ReasonRateLimited})
 		return
 	}
 	w.deliver(a)
 	if w.chance("caller goes", 10) {
-		w.after(w.span("goes", 300), func() { w.deliver(CallerGone{a.RequestID, a.Ref}) })
+		w.schedule(w.randomDelay("goes", 300), func() { w.deliver(CallerGone{a.RequestID, a.Ref}) })
 	}
 }
 
-func (w *world) check() {
+func (w *simulation) check() {
 	twice, cost := 0, time.Duration(0)
-	for _, s := range w.admits {
+	for _, s := range w.submissions {
 		w.checkSending(s)
 		if s.reply.Problem != nil && s.reply.Problem.Detail == "an earlier sending is still running" {
 			twice++
@@ -122,17 +123,17 @@
 		cost += c
 	}
 	assert.Equal(w, w.useful+w.wasted, cost, "cost")
-	assert.Equal(w, w.finals, len(w.admits)-twice, "final records")
+	assert.Equal(w, w.finals, len(w.submissions)-twice, "final records")
 	assert.Equal(w, w.core.InFlight(), 0)
 	assert.Equal(w, w.core.Waiting(), 0)
 	assert.Equal(w, w.suspects.n, 0, "runs of content without an end")
 }
 
-func (w *world) checkSending(s *sending) {
+func (w *simulation) checkSending(s *submission) {
 	assert.Equal(w, s.replies, 1, "replies to %s", s.RequestID)
 	outcome := s.reply.Outcome()
-	late := s.at.After(s.Deadline)
-	assert.Assert(w, !late || (w.paused && outcome != api.OutcomeAnswered), "replied %v late", s.at.Sub(s.Deadline))
+	late := s.repliedAt.After(s.Deadline)
+	assert.Assert(w, !late || (w.paused && outcome != api.OutcomeAnswered), "replied %v late", s.repliedAt.Sub(s.Deadline))
 	ran := 0
 	for _, r := range w.runs {
 		if r.call.ID.Request == s.RequestID && r.index <= s.index {
@@ -149,8 +150,8 @@
 	}
 }
 
-// checkAnswer follows the answer back through runs of this request alone.
-func (w *world) checkAnswer(s *sending) {
+// checkAnswer traces the answer back through runs of this request only.
+func (w *simulation) checkAnswer(s *submission) {
 	var text string
 	output := s.reply.Answer.Output
 	assert.NilError(w, json.Unmarshal(output, &text))
@@ -167,7 +168,7 @@
 	assert.Equal(w, len(output), 0)
 }
 
-func (w *world) producer(s *sending, stage string, output json.RawMessage) *run {
+func (w *simulation) producer(s *submission, stage string, output json.RawMessage) *run {
 	for _, r := range w.runs {
 		if r.call.ID.Request == s.RequestID && r.call.ID.Stage == stage && r.done && string(quote(r.output)) == string(output) {
 			return r
--- a/pipeline/request.go
+++ b/pipeline/request.go
@@ -10,70 +10,78 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// phase is how far a request has come.
+// phase is the progress of a request.
 type phase uint8
 
 const (
-	// running: a stage is being tried.
+	// running means that a stage is being attempted.
 	running phase = iota
-	// proving: no further call will be made; revocations may still tell what ran.
-	proving
-	// peeking: no call of this sending ran; owners are asked for earlier ones.
+	// revoking means that no further call is made; replies to revocations may
+	// still show what ran.
+	revoking
+	// peeking means that no call of this submission ran and the owners are
+	// asked about earlier ones.
 	peeking
 )
 
 const timerKinds = int(TimerWait) + 1
 
-// request is one sending of a request.
+// request is one submission of a request.
 type request struct {
 	Admit
-	// entry is the Entry of all its CallIDs.
+	// entry is the Entry of all CallIDs of this submission.
 	entry    string
 	admitted time.Time
 	giveUpAt time.Time
 	phase    phase
-	ended    bool
-
-	// stage is the index of the current one, previous the output before it.
-	stage    int
-	previous json.RawMessage
-	replayed bool
-	attempts []*attempt
+	replied  bool
+
+	// stage is the index of the current stage; prevOutput is the output of the
+	// stage before it. replayed is true when some stage returned the stored
+	// result of an earlier run.
+	stage      int
+	prevOutput json.RawMessage
+	replayed   bool
+	attempts   []*attempt
 	// winners holds, by stage, the attempt whose result was used.
 	winners []*attempt
 
-	// ticket is held while the request waits for an endpoint; unserved is why it
-	// ends if none comes back.
-	ticket   *ticket
-	unserved cause
-	// heardSince keeps the last attempt for an endpoint that has reported after it.
-	heardSince time.Time
+	// waiter is set while the request waits for an endpoint; waitCause is the
+	// cause with which the request ends if none becomes available.
+	waiter    *waiter
+	waitCause cause
+	// reportedSince restricts the last attempt to endpoints that have reported
+	// after this time; zero means no restriction.
+	reportedSince time.Time
 
 	// timers holds the sequence number of each running timer.
 	timers [timerKinds]uint64
 
 	cause cause
-	// abandoned: even a complete result would not be delivered.
+	// abandoned is true when even a complete result would not be delivered.
 	abandoned bool
 
-	// forwarded is what the caller has been sent of the last stage's output.
+	// forwarded is the part of the last stage's output that the caller has
+	// received.
 	forwarded []byte
 	nextChunk int
 
-	// peekSeq numbers the round of peeks, peeks holds the stages not heard from.
+	// peekSeq numbers the round of peeks; peeks holds the stages whose owners
+	// have not replied.
 	peekSeq uint64
 	peeks   map[string]struct{}
 }
 
 func (r *request) stageAt(i int) *bundle.Stage { return &r.Pipeline.Stages[i] }
 
-// content is the key by which crashes at a stage are counted.
-func (r *request) content(stage int) string {
+// contentKey returns the key under which crashes at a stage are counted.
+func (r *request) contentKey(stage int) string {
 	return suspect.Key(r.Identity.BodyHash, r.stageAt(stage).Name)
 }
 
 func (r *request) lastStage() int { return len(r.Pipeline.Stages) - 1 }
 
+// attemptsOf returns the number of attempts of a stage.
 func (r *request) attemptsOf(stage int) int {
 	n := 0
 	for _, a := range r.attempts {
@@ -84,8 +92,9 @@
 	return n
 }
 
-// reached counts the attempts of a stage that got to an endpoint or may have.
-func (r *request) reached(stage int) int {
+// reachedAttempts returns the number of attempts of a stage that reached an
+// endpoint or may have.
+func (r *request) reachedAttempts(stage int) int {
 	n := 0
 	for _, a := range r.attempts {
 		if a.stage == stage && !a.notReached() {
@@ -95,21 +104,23 @@
 	return n
 }
 
-// counted is the number of attempts of a stage that count against the policy's
-// maximum. Those that reached no endpoint do not once the request has begun: its
-// caller would have to run the first stages again, while one that has not run
-// loses nothing by coming back.
-func (r *request) counted(stage int) int {
-	if !r.begun() {
+// countedAttempts returns the number of attempts of a stage that count against
+// the policy's maximum. Once the request has started, attempts that reached no
+// endpoint do not count: if it failed, its caller would have to run the first
+// stages again. A request of which nothing has run loses nothing when its
+// caller tries again later.
+func (r *request) countedAttempts(stage int) int {
+	if !r.started() {
 		return r.attemptsOf(stage)
 	}
-	return r.reached(stage)
+	return r.reachedAttempts(stage)
 }
 
-// attemptsUsed tells whether the current stage may not be attempted again.
-func (r *request) attemptsUsed() bool {
-	notReached := r.attemptsOf(r.stage) - r.reached(r.stage)
-	return r.counted(r.stage) >= r.maxAttempts() || notReached >= maxNotReached
+// attemptsExhausted reports whether the current stage may not be attempted
+// again.
+func (r *request) attemptsExhausted() bool {
+	notReached := r.attemptsOf(r.stage) - r.reachedAttempts(r.stage)
+	return r.countedAttempts(r.stage) >= r.maxAttempts() || notReached >= maxNotReached
 }
 
 // find returns the attempt with exactly that ID, or nil.
@@ -122,7 +133,8 @@
 	return nil
 }
 
-// binding returns the only agent run that may execute a stage, if there is one.
+// binding returns the only agent run that may execute a stage; nil if the stage
+// is not bound.
 func (r *request) binding(stage int) *wire.Binding {
 	s := r.stageAt(stage)
 	b, ok := r.Bindings[s.Name]
@@ -141,7 +153,7 @@
 	return false
 }
 
-// allBound tells whether every stage has an owner.
+// allBound reports whether every stage has an owner.
 func (r *request) allBound() bool {
 	if len(r.Pipeline.Stages) == 0 {
 		return false
@@ -154,28 +166,29 @@
 	return true
 }
 
-// earlier tells whether another sending of the same request may have run. An
-// idempotency key matters only to unrepeatable stages: without one, each
-// sending is a request of its own, with an ID of its own.
-func (r *request) earlier() bool {
+// earlierMayHaveRun reports whether another submission of the same request may
+// have run. An idempotency key matters only to unrepeatable stages: in a
+// pipeline without any, each submission is a separate request with its own ID.
+func (r *request) earlierMayHaveRun() bool {
 	if r.Identity.Kind == wire.IdentityKey && !r.hasUnrepeatable() {
 		return false
 	}
 	return r.MayHaveEarlier
 }
 
-// knows tells whether some attempt is in state k.
-func (r *request) knows(k knowledge) bool {
+// hasAttemptIn reports whether some attempt is in state k.
+func (r *request) hasAttemptIn(k execState) bool {
 	for _, a := range r.attempts {
-		if a.knowledge == k {
+		if a.execState == k {
 			return true
 		}
 	}
 	return false
 }
 
-// hopeful tells whether a complete answer may still come without another call.
-func (r *request) hopeful() bool {
+// mayBeAnswered reports whether a complete answer may still arrive without
+// another call.
+func (r *request) mayBeAnswered() bool {
 	if r.abandoned || r.stage != r.lastStage() {
 		return false
 	}
@@ -187,26 +200,28 @@
 	return false
 }
 
-// outcome is what can be said of a request that isn't answered. It is
-// "refused" only if each call ever made is proved not to have run and no
-// earlier sending can have run either; silence proves nothing.
+// outcome returns the outcome of a request that is not answered. It is
+// "refused" only if every call is proved not to have run and no earlier
+// submission can have run; a missing reply proves nothing. neverEarlier is true
+// when owners have proved that no earlier submission ran.
 func (r *request) outcome(neverEarlier bool) api.Outcome {
 	switch {
-	case r.knows(ran):
+	case r.hasAttemptIn(ran):
 		return api.OutcomeCutShort
-	case r.knows(pending), r.knows(silent), r.knows(mayHaveRun):
+	case r.hasAttemptIn(pending), r.hasAttemptIn(unanswered), r.hasAttemptIn(mayHaveRun):
 		return api.OutcomeUnknown
-	case r.earlier() && !neverEarlier:
+	case r.earlierMayHaveRun() && !neverEarlier:
 		return api.OutcomeUnknown
 	}
 	return api.OutcomeRefused
 }
 
+// stageRuns lists the attempts for the reply.
 func (r *request) stageRuns() []api.StageRun {
 	runs := make([]api.StageRun, 0, len(r.attempts))
 	for _, a := range r.attempts {
 		runs = append(runs, api.StageRun{
-			Stage: a.id.Stage, Endpoint: a.endpoint, Attempt: a.id.Attempt, State: a.state(), Took: a.took,
+			Stage: a.id.Stage, Endpoint: a.endpoint, Attempt: a.id.Attempt, State: a.state(), Took: a.elapsed,
 		})
 	}
 	return runs
--- a/pipeline/result.go
+++ b/pipeline/result.go
@@ -10,16 +10,17 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// attempt returns the open request's attempt with the ID, or nil.
-func (t *turn) attempt(id wire.CallID) *attempt {
+// attempt returns the attempt with the ID, or nil if it or its request is not
+// in the shard.
+func (t *transition) attempt(id wire.CallID) *attempt {
 	if t.r == nil {
 		return nil
 	}
 	return t.r.find(id)
 }
 
-// learned is what each status proves.
-var learned = map[wire.StageStatus]knowledge{
+// execStateByStatus is the execution state that each status proves.
+var execStateByStatus = map[wire.StageStatus]execState{
 	wire.StatusDone:    ran,
 	wire.StatusFailed:  ran,
 	wire.StatusRefused: notRun,
@@ -27,7 +28,7 @@
 	wire.StatusUnknown: mayHaveRun,
 }
 
-// callOutcome is what a result says of the endpoint's health.
+// callOutcome classifies a result for the endpoint's health.
 func callOutcome(res wire.StageResult) route.CallOutcome {
 	switch res.Status {
 	case wire.StatusDone:
@@ -43,42 +44,42 @@
 	return route.CallFailed
 }
 
-// onResult takes in an agent's reply. Only the first for exactly this request,
-// stage, sending and attempt counts: a late or repeated one must not pass for
-// the result of another.
-func (t *turn) onResult(res wire.StageResult) {
+// onResult handles an agent's reply. Only the first reply with exactly this
+// request, stage, submission and attempt counts: a late or repeated reply must
+// not be accepted as the result of another call.
+func (t *transition) onResult(res wire.StageResult) {
 	a := t.attempt(res.ID)
 	if a == nil || a.result != nil || a.notWritten {
-		t.lateResult(res)
+		t.onLateResult(res)
 		return
 	}
-	wasOver := a.over()
+	wasEnded := a.ended()
 	a.result = &res
-	k, known := learned[res.Status]
+	k, known := execStateByStatus[res.Status]
 	if !known {
 		k = mayHaveRun
 	}
-	a.learn(k)
-	a.took = t.now.Sub(a.sentAt)
+	a.advance(k)
+	a.elapsed = t.now.Sub(a.sentAt)
 	a.cost = max(a.cost, res.Cost)
 	if res.Crashed || res.Reason == api.ReasonNoEndpoint {
 		a.lostAt = t.now
 	}
-	if !wasOver {
-		t.endRun(a)
+	if !wasEnded {
+		t.reportRunEnd(a)
 		o := t.observe(a, callOutcome(res))
 		o.Crashed, o.Companions, o.Report = res.Crashed, res.Companions, &res.Report
 		o.Queued, o.Ran = res.Queued, res.Ran
 		t.emit(o)
 	}
 	t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: a.state(), Reason: res.Reason,
-		Detail: res.Detail, Took: a.took, Cost: res.Cost})
-	t.step(a)
+		Detail: res.Detail, Took: a.elapsed, Cost: res.Cost})
+	t.proceed(a)
 }
 
-// endRun tells Suspects how the run of the content ended.
-func (t *turn) endRun(a *attempt) {
-	fingerprint := t.r.content(a.stage)
+// reportRunEnd reports to Suspects how the attempt ended.
+func (t *transition) reportRunEnd(a *attempt) {
+	fingerprint := t.r.contentKey(a.stage)
 	s := t.core.cfg.Suspects
 	switch {
 	case a.result != nil && a.result.Crashed:
@@ -90,54 +91,56 @@
 	}
 }
 
-func (t *turn) observe(a *attempt, outcome route.CallOutcome) Observe {
+// observe builds the Observe effect for an attempt that has ended.
+func (t *transition) observe(a *attempt, outcome route.CallOutcome) Observe {
 	return Observe{
 		CallID: a.id, Pool: a.pool, Stage: a.id.Stage, Endpoint: a.endpoint, Outcome: outcome,
-		Took: t.now.Sub(a.sentAt), Revoked: a.revoked, Fingerprint: t.r.content(a.stage),
+		Took: t.now.Sub(a.sentAt), Revoked: a.revoked, Fingerprint: t.r.contentKey(a.stage),
 	}
 }
 
-func (t *turn) onNotWritten(id wire.CallID) {
+// onNotWritten handles a call that was not written, and so cannot have run.
+func (t *transition) onNotWritten(id wire.CallID) {
 	a := t.attempt(id)
-	if a == nil || a.over() {
-		t.lateEnd(id)
+	if a == nil || a.ended() {
+		t.onLateEnd(id)
 		return
 	}
 	a.notWritten = true
-	a.learn(notRun)
-	t.ended(a, api.StageNotRun, route.CallLost)
+	a.advance(notRun)
+	t.endWithoutReply(a, api.StageNotRun, route.CallLost)
 }
 
-// onCallLost takes in that a call was, or may have been, written and no reply
-// will come. The call may sit in a socket buffer and run later, so it is
-// revoked: only the agent's acknowledgement can prove that it never will.
-func (t *turn) onCallLost(id wire.CallID) {
+// onCallLost handles a call that was, or may have been, written and whose reply
+// will not come. The call may still be in a socket buffer and run later, so it
+// is revoked: only the agent's acknowledgement can prove that it never will.
+func (t *transition) onCallLost(id wire.CallID) {
 	a := t.attempt(id)
-	if a == nil || a.over() {
-		t.lateEnd(id)
+	if a == nil || a.ended() {
+		t.onLateEnd(id)
 		return
 	}
 	a.lost = true
 	if a.revokeLost {
-		a.learn(silent)
+		a.advance(unanswered)
 	}
 	t.revoke(a)
-	t.ended(a, a.state(), route.CallLost)
+	t.endWithoutReply(a, a.state(), route.CallLost)
 }
 
-// ended takes in the end of a call without a reply.
-func (t *turn) ended(a *attempt, state api.StageState, outcome route.CallOutcome) {
-	a.took = t.now.Sub(a.sentAt)
+// endWithoutReply handles the end of a call without a reply.
+func (t *transition) endWithoutReply(a *attempt, state api.StageState, outcome route.CallOutcome) {
+	a.elapsed = t.now.Sub(a.sentAt)
 	a.lostAt = t.now
-	t.endRun(a)
+	t.reportRunEnd(a)
 	t.emit(t.observe(a, outcome))
 	t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: state,
-		Reason: api.ReasonConnectionLost, Took: a.took})
-	t.step(a)
+		Reason: api.ReasonConnectionLost, Took: a.elapsed})
+	t.proceed(a)
 }
 
-// revoke asks the agent, once, to stop a call.
-func (t *turn) revoke(a *attempt) {
+// revoke asks the agent to stop a call, at most once.
+func (t *transition) revoke(a *attempt) {
 	if a.revoked {
 		return
 	}
@@ -148,10 +151,13 @@
 	})
 }
 
-func (t *turn) onRevokeAck(id wire.CallID, ack wire.RevokeResult) {
+// onRevokeAck handles an agent's reply to a revocation. "Not run" counts as a
+// lost reply if it comes from another agent process than the one that was
+// called.
+func (t *transition) onRevokeAck(id wire.CallID, ack wire.RevokeResult) {
 	a := t.attempt(id)
 	if a == nil || !a.revoked || a.ack != "" {
-		t.lateCost(id, ack.Cost)
+		t.addLateCost(id, ack.Cost)
 		return
 	}
 	if ack.State == wire.RevokedNotRun && !a.sameAgent(ack.Report.Process) {
@@ -161,80 +167,83 @@
 	a.ack = ack.State
 	switch ack.State {
 	case wire.RevokedNotRun:
-		a.learn(notRun)
+		a.advance(notRun)
 	case wire.RevokedRunning, wire.RevokedDone:
-		a.learn(ran)
+		a.advance(ran)
 	default:
-		a.learn(mayHaveRun)
+		a.advance(mayHaveRun)
 	}
 	a.cost = max(a.cost, ack.Cost)
 	t.recordAttempt(a, ledger.Record{Kind: ledger.KindRevoked, State: a.state(), Cost: ack.Cost})
-	if t.r.phase == proving {
-		t.settle()
+	if t.r.phase == revoking {
+		t.finishIfDecided()
 	}
 }
 
-// sameAgent tells whether the agent that speaks is the one that was called. An
-// agent that was restarted in between has never seen the call and would
-// acknowledge in good faith that it did not run, when its predecessor had
-// already passed it to the endpoint. An incarnation never comes back, so one
-// that was there before the call and is there now received it.
-func (a *attempt) sameAgent(speaker wire.Process) bool {
-	return a.agent != "" && a.agent == speaker.Incarnation
+// sameAgent reports whether the process that replied is the agent that was
+// called. An agent that restarted in between has never seen the call and would
+// acknowledge that it did not run, although its predecessor may have passed it
+// to the endpoint. Incarnations are never reused, so an agent with the same
+// incarnation before and after the call is the one that received it.
+func (a *attempt) sameAgent(replier wire.Process) bool {
+	return a.agent != "" && a.agent == replier.Incarnation
 }
 
-func (t *turn) onRevokeLost(id wire.CallID) {
+// onRevokeLost handles a revocation without a reply.
+func (t *transition) onRevokeLost(id wire.CallID) {
 	a := t.attempt(id)
 	if a == nil || !a.revoked || a.ack != "" {
 		return
 	}
 	a.revokeLost = true
 	if a.lost {
-		a.learn(silent)
+		a.advance(unanswered)
 	}
-	if t.r.phase == proving {
-		t.settle()
+	if t.r.phase == revoking {
+		t.finishIfDecided()
 	}
 }
 
-// step moves the request on after one of its calls has ended.
-func (t *turn) step(a *attempt) {
+// proceed decides how the request continues after one of its calls has ended.
+func (t *transition) proceed(a *attempt) {
 	r := t.r
 	switch {
 	case t.now.After(r.Deadline):
 		// The deadline timer is late, as after a pause of this process. A
-		// result that comes too late is not passed off as an answer in time.
+		// result that arrives after the deadline is not delivered as an answer.
 		t.expire()
 	case a.stage != r.stage || r.phase == peeking:
 		return
 	case a.done() && r.phase == running, a.done() && !r.abandoned && r.stage == r.lastStage():
 		t.stageDone(a)
-	case r.phase == proving:
-		t.settle()
-	case !r.waiting():
+	case r.phase == revoking:
+		t.finishIfDecided()
+	case !r.attemptRunning():
 		t.retry(a)
 	}
 }
 
-// stageDone takes the first complete result of the current stage. Other
-// attempts are stopped; what they cost counts as wasted.
-func (t *turn) stageDone(a *attempt) {
+// stageDone uses the first complete result of the current stage and starts the
+// next stage or answers. Other attempts are revoked; their cost counts as
+// wasted.
+func (t *transition) stageDone(a *attempt) {
 	r := t.r
-	if r.stage == r.lastStage() && a.matched < len(r.forwarded) {
-		// The caller has text of an earlier attempt that this one did not
-		// repeat; its output would not fit what the caller already read.
-		if !t.othersContinue(a) {
-			t.diverged()
+	if r.stage == r.lastStage() && a.matchedBytes < len(r.forwarded) {
+		// The caller has received output of an earlier attempt that this one
+		// did not repeat, so its complete output may contradict what the caller
+		// has already read.
+		if !t.otherAttemptMatches(a) {
+			t.giveUpStream()
 		}
 		return
 	}
 	for _, other := range r.attempts {
-		if other.stage == r.stage && !other.over() {
+		if other.stage == r.stage && !other.ended() {
 			t.revoke(other)
 		}
 	}
 	r.replayed = r.replayed || a.result.Replayed
-	r.previous = a.result.Output
+	r.prevOutput = a.result.Output
 	r.winners[r.stage] = a
 	if r.stage == r.lastStage() {
 		t.answer()
@@ -242,7 +251,7 @@
 	}
 	t.stopWaiting()
 	r.stage++
-	r.heardSince = time.Time{}
+	r.reportedSince = time.Time{}
 	r.timers[TimerHedge] = 0
 	t.startStage()
 }
--- a/pipeline/stage.go
+++ b/pipeline/stage.go
@@ -9,7 +9,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// fatal reasons hold for every endpoint; another attempt would meet them too.
+// fatal holds the reasons that hold for every endpoint, so that another attempt
+// would fail likewise.
 var fatal = map[api.Reason]bool{
 	api.ReasonBadRequest:      true,
 	api.ReasonBodyTooLarge:    true,
@@ -20,75 +21,76 @@
 	api.ReasonSuspectRequest:  true,
 }
 
-// maxNotReached bounds the attempts of a stage that got to no endpoint: they
-// are no load for the pool, but each costs a call to an agent or a dial.
+// maxNotReached bounds the attempts of a stage that reached no endpoint: they
+// add no load to the pool, but each costs a call to an agent or a dial.
 const maxNotReached = 8
 
-// median is the quantile taken as the expected time of a stage.
+// median is the quantile used as the expected time of a stage.
 const median = 0.5
 
 // startStage makes the first attempt of the current stage.
-func (t *turn) startStage() {
+func (t *transition) startStage() {
 	r := t.r
-	// An unrepeatable stage without a binding could be run by two agents for
-	// two sendings of one identity, so it is not run at all.
+	// For two submissions of one identity, an unrepeatable stage without a
+	// binding could be run by two agents, so it is not run at all.
 	if r.stageAt(r.stage).Unrepeatable && r.binding(r.stage) == nil && r.Identity.Kind != wire.IdentityMinted {
-		t.conclude(cause{reason: api.ReasonNoEndpoint, detail: "the stage has no owner"})
+		t.giveUp(cause{reason: api.ReasonNoEndpoint, detail: "the stage has no owner"})
 		return
 	}
 	t.start(cause{reason: api.ReasonNoEndpoint})
-	if !r.ended && r.phase == running {
+	if !r.replied && r.phase == running {
 		t.armHedge()
 	}
 }
 
-// start makes one attempt of the current stage; otherwise is why the request
-// ends if there is no endpoint for it.
-func (t *turn) start(otherwise cause) {
+// start makes one attempt of the current stage; noEndpoint is the cause with
+// which the request ends if no endpoint is available.
+func (t *transition) start(noEndpoint cause) {
 	if !t.now.Before(t.r.giveUpAt) {
-		t.conclude(cause{reason: api.ReasonDeadline, detail: "no time left for the stage"})
+		t.giveUp(cause{reason: api.ReasonDeadline, detail: "no time left for the stage"})
 		return
 	}
-	verdict := t.core.cfg.Suspects.Begin(t.r.content(t.r.stage), t.now)
+	verdict := t.core.cfg.Suspects.Begin(t.r.contentKey(t.r.stage), t.now)
 	if verdict.Refuse {
 		stage := t.r.stageAt(t.r.stage)
 		t.emit(Log{RequestID: t.r.RequestID, Stage: stage.Name, Pool: stage.Pool,
 			Attempt: t.r.attemptsOf(t.r.stage) + 1, Reason: string(api.ReasonSuspectRequest)})
-		t.conclude(cause{reason: api.ReasonSuspectRequest, retryAfter: verdict.RetryAfter})
+		t.giveUp(cause{reason: api.ReasonSuspectRequest, retryAfter: verdict.RetryAfter})
 		return
 	}
 	d := t.pick()
 	if d.Endpoint == nil {
-		t.core.cfg.Suspects.Ended(t.r.content(t.r.stage), t.now)
+		t.core.cfg.Suspects.Ended(t.r.contentKey(t.r.stage), t.now)
 		if t.r.binding(t.r.stage) != nil {
-			otherwise = cause{reason: api.ReasonOwnerUnreachable}
+			noEndpoint = cause{reason: api.ReasonOwnerUnreachable}
 		}
-		if otherwise.detail == "" {
-			otherwise.detail = d.Reason
+		if noEndpoint.detail == "" {
+			noEndpoint.detail = d.Reason
 		}
-		t.startLater(d, otherwise)
+		t.waitOrGiveUp(d, noEndpoint)
 		return
 	}
 	t.stopWaiting()
-	t.emit(t.decision(d))
+	t.emit(t.logEntry(d))
 	t.send(d.Endpoint, false, verdict.Alone)
 }
 
-// startLater takes in that no endpoint can be used now.
-func (t *turn) startLater(d route.Decision, otherwise cause) {
-	waited := t.r.ticket != nil
-	log := t.decision(d)
-	log.Waits = d.MayReturn && t.wait(otherwise)
+// waitOrGiveUp handles the lack of a usable endpoint: the request waits for one
+// or, if it may not wait, is given up with the cause noEndpoint.
+func (t *transition) waitOrGiveUp(d route.Decision, noEndpoint cause) {
+	waited := t.r.waiter != nil
+	log := t.logEntry(d)
+	log.Waits = d.MayReturn && t.wait(noEndpoint)
 	if !waited || !log.Waits {
 		t.emit(log)
 	}
 	if !log.Waits {
-		t.conclude(otherwise)
+		t.giveUp(noEndpoint)
 	}
 }
 
-// pick asks for an endpoint.
-func (t *turn) pick() route.Decision {
+// pick asks the Picker for an endpoint for the current stage.
+func (t *transition) pick() route.Decision {
 	r := t.r
 	stage := r.stageAt(r.stage)
 	req := &route.Request{
@@ -101,7 +103,7 @@
 		AffinityHash: r.AffinityHash,
 		Remaining:    r.Deadline.Sub(t.now),
 		Tried:        r.tried(r.stage),
-		HeardSince:   r.heardSince,
+		HeardSince:   r.reportedSince,
 	}
 	if b := r.binding(r.stage); b != nil {
 		req.Only = b.Agent
@@ -109,8 +111,8 @@
 	return t.core.cfg.Picker.Pick(t.now, &r.Bundle.Policy, req)
 }
 
-// decision returns what is logged of a choice.
-func (t *turn) decision(d route.Decision) Log {
+// logEntry builds the Log effect of a routing decision.
+func (t *transition) logEntry(d route.Decision) Log {
 	r := t.r
 	stage := r.stageAt(r.stage)
 	log := Log{RequestID: r.RequestID, Stage: stage.Name, Pool: stage.Pool, Attempt: r.attemptsOf(r.stage) + 1,
@@ -121,8 +123,9 @@
 	return log
 }
 
-// send makes the call.
-func (t *turn) send(to *route.Endpoint, hedge, alone bool) {
+// send emits the Call of a new attempt to an endpoint. hedge is true for a
+// hedge; alone tells the agent to run no other call beside it.
+func (t *transition) send(to *route.Endpoint, hedge, alone bool) {
 	r := t.r
 	stage := r.stageAt(r.stage)
 	a := &attempt{
@@ -150,7 +153,7 @@
 		Stream:        r.streams(),
 		MaxTokens:     stage.MaxTokens,
 		Input:         r.Input,
-		Previous:      r.previous,
+		Previous:      r.prevOutput,
 	}})
 	routed := ledger.Record{Kind: ledger.KindRouted}
 	if hedge {
@@ -159,12 +162,13 @@
 	t.recordAttempt(a, routed)
 }
 
-// armHedge sets the time at which the stage's first attempt counts as slow.
-func (t *turn) armHedge() {
+// armHedge sets the timer after which the stage's first attempt is slow enough
+// for a hedge.
+func (t *transition) armHedge() {
 	r := t.r
 	stage := r.stageAt(r.stage)
 	q := r.Bundle.Policy.HedgeAfter
-	if q <= 0 || !r.hedges() {
+	if q <= 0 || !r.mayHedge() {
 		return
 	}
 	est := t.core.cfg.Quantiles.Quantile(route.StageKey{Pool: stage.Pool, Stage: stage.Name}, q, t.now)
@@ -176,49 +180,53 @@
 	}
 }
 
-// idle tells whether a hedge is worth its place. In a burst calls are slow because
-// they queue. Hedged, each of them would queue twice, and the burst be half as
-// long again; where an endpoint has a place free, a slow call is one to help.
-func (t *turn) idle(e *route.Endpoint) bool { return !e.Busy(t.now) }
+// hasFreeSlot reports whether the endpoint would run a hedge without queueing
+// it. In a burst, calls are slow because they queue. Hedging them would queue
+// each call twice and make the burst half as long again. If an endpoint has a
+// free slot, a slow call is worth hedging.
+func (t *transition) hasFreeSlot(e *route.Endpoint) bool { return !e.Busy(t.now) }
 
-// always is for calls whose first attempt is not expected to bring an answer.
-func always(*route.Endpoint) bool { return true }
+// anyEndpoint accepts every endpoint. It is used for calls whose first attempt
+// is not expected to return an answer.
+func anyEndpoint(*route.Endpoint) bool { return true }
 
-// hedges tells whether a slow call of the current stage may get company. Of two
-// streams that differ, one would be for nothing.
-func (r *request) hedges() bool {
+// mayHedge reports whether a slow call of the current stage may be hedged.
+// Streams are not hedged: if the outputs differ, one of the two is wasted.
+func (r *request) mayHedge() bool {
 	return !r.stageAt(r.stage).Unrepeatable && !r.streams()
 }
 
-// startHedge makes a second attempt beside a slow one, if there is an endpoint
-// and a budget for it, and pays says that it is worth its place there.
-func (t *turn) startHedge(pays func(*route.Endpoint) bool) {
+// startHedge makes a second attempt beside a running one, if there is an
+// endpoint that accept allows and the budget permits it.
+func (t *transition) startHedge(accept func(*route.Endpoint) bool) {
 	r := t.r
-	if r.phase != running || !t.now.Before(r.giveUpAt) || r.attemptsUsed() || !r.waiting() {
+	if r.phase != running || !t.now.Before(r.giveUpAt) || r.attemptsExhausted() || !r.attemptRunning() {
 		return
 	}
-	verdict := t.core.cfg.Suspects.Begin(r.content(r.stage), t.now)
+	verdict := t.core.cfg.Suspects.Begin(r.contentKey(r.stage), t.now)
 	if verdict.Refuse {
 		return
 	}
-	// Content under suspicion is not put on a second endpoint at the same time.
+	// Content suspected of crashing endpoints does not run on two endpoints at
+	// the same time.
 	if !verdict.Alone {
 		d := t.pick()
-		log := t.decision(d)
+		log := t.logEntry(d)
 		log.Hedge = true
 		t.emit(log)
-		if d.Endpoint != nil && pays(d.Endpoint) && t.core.cfg.Retrier.Hedge(r.stageAt(r.stage).Pool, t.now) {
+		if d.Endpoint != nil && accept(d.Endpoint) && t.core.cfg.Retrier.Hedge(r.stageAt(r.stage).Pool, t.now) {
 			t.send(d.Endpoint, true, false)
 			return
 		}
 	}
-	t.core.cfg.Suspects.Ended(r.content(r.stage), t.now)
+	t.core.cfg.Suspects.Ended(r.contentKey(r.stage), t.now)
 }
 
-// waiting tells whether an attempt of the current stage is still running.
-func (r *request) waiting() bool {
+// attemptRunning reports whether an attempt of the current stage is still
+// running.
+func (r *request) attemptRunning() bool {
 	for _, a := range r.attempts {
-		if a.stage == r.stage && !a.over() {
+		if a.stage == r.stage && !a.ended() {
 			return true
 		}
 	}
@@ -228,36 +236,37 @@
 func (r *request) maxAttempts() int { return max(1, r.Bundle.Policy.MaxAttempts) }
 
 // retry makes another attempt after a failed one, or gives the request up.
-func (t *turn) retry(failed *attempt) {
+func (t *transition) retry(failed *attempt) {
 	r := t.r
-	if r.ticket != nil {
+	if r.waiter != nil {
 		return
 	}
 	bound := r.binding(r.stage) != nil
 	c := failed.causeOf(bound)
 	if !t.mayRetry(failed, bound) {
-		t.conclude(c)
+		t.giveUp(c)
 		return
 	}
 	verdict := t.core.cfg.Retrier.Decide(r.failure(failed, t.now, t.need()), t.now)
 	if !verdict.Retry {
 		c.detail = join(c.detail, "no retry: "+string(verdict.Reason))
-		t.conclude(c)
+		t.giveUp(c)
 		return
 	}
 	c.detail = join(c.detail, "no other endpoint")
-	r.confirmLast(failed)
+	r.requireReport(failed)
 	t.start(c)
 }
 
-// mayRetry holds what no policy may override: a bound stage runs at its owner
-// or nowhere, and an unrepeatable one only after proof that it didn't run.
-func (t *turn) mayRetry(failed *attempt, bound bool) bool {
+// mayRetry checks the rules that no policy may override: a bound stage runs on
+// its owner or not at all, and an unrepeatable stage runs again only after
+// proof that it did not run.
+func (t *transition) mayRetry(failed *attempt, bound bool) bool {
 	r := t.r
-	if bound || r.attemptsUsed() {
+	if bound || r.attemptsExhausted() {
 		return false
 	}
-	if r.stageAt(r.stage).Unrepeatable && failed.knowledge != notRun {
+	if r.stageAt(r.stage).Unrepeatable && failed.execState != notRun {
 		return false
 	}
 	if failed.result == nil {
@@ -266,8 +275,8 @@
 	return failed.result.Status != wire.StatusUnknown && !fatal[failed.result.Reason]
 }
 
-// need is the expected time of the current stage and those after it.
-func (t *turn) need() time.Duration {
+// need returns the expected time of the current stage and those after it.
+func (t *transition) need() time.Duration {
 	var need time.Duration
 	for i := t.r.stage; i < len(t.r.Pipeline.Stages); i++ {
 		stage := t.r.stageAt(i)
@@ -281,6 +290,7 @@
 	return need
 }
 
+// join joins two details; detail may be empty.
 func join(detail, more string) string {
 	if detail == "" {
 		return more
--- a/pipeline/wait.go
+++ b/pipeline/wait.go
@@ -6,140 +6,143 @@
 	"github.com/mangostage/mangostage/route"
 )
 
-// confirmWait is how long the last attempt waits for a word from an endpoint: an
-// agent checks its endpoint that often, and tells of a change at once.
-const confirmWait = time.Second
+// reportWait is how long the last attempt waits for a report from an endpoint:
+// an agent checks its endpoint at this interval and reports a change at once.
+const reportWait = time.Second
 
-// maxPassedOver bounds the requests that are tried in vain at one time.
-const maxPassedOver = 64
+// maxFailedResumes bounds the waiting requests that are tried without success
+// in one go.
+const maxFailedResumes = 64
 
-// Waiting is the number of requests that wait for an endpoint.
+// Waiting returns the number of requests that wait for an endpoint.
 func (c *Core) Waiting() int { return c.waiting.len() }
 
-// WaitingPools lists the pools whose endpoints are waited for.
-func (c *Core) WaitingPools() []string { return c.waiting.names() }
+// WaitingPools lists the pools in which requests wait for an endpoint.
+func (c *Core) WaitingPools() []string { return c.waiting.poolNames() }
 
-// EndpointsBack takes in that endpoints of a pool may take work again and sends
-// up to places of the requests that wait for one, those with the least time
-// left first. Not all are sent at once: an endpoint that has just restarted
-// would refuse what does not fit its queue.
+// EndpointsBack reports that endpoints of a pool may accept work again. It
+// starts up to slots of the waiting requests, those with the least time left
+// first. Not all are started at once, because an endpoint that has just
+// restarted would refuse the calls that exceed its queue.
 //
-// Like EndpointEjected it is no event of one request.
-func (c *Core) EndpointsBack(now time.Time, pool string, places int) []Effect {
+// Like EndpointEjected, it affects requests of several shards.
+func (c *Core) EndpointsBack(now time.Time, pool string, slots int) []Effect {
 	var effects []Effect
-	var stay []*ticket
-	for places > 0 && len(stay) < maxPassedOver {
-		k := c.waiting.call(pool)
-		if k == nil {
+	var stillWaiting []*waiter
+	for slots > 0 && len(stillWaiting) < maxFailedResumes {
+		wt := c.waiting.pop(pool)
+		if wt == nil {
 			break
 		}
-		more, waits := c.resume(now, k)
+		more, waiting := c.resume(now, wt)
 		effects = append(effects, more...)
-		if waits {
-			stay = append(stay, k)
+		if waiting {
+			stillWaiting = append(stillWaiting, wt)
 		} else {
-			places--
+			slots--
 		}
 	}
-	c.waiting.enterAgain(stay)
+	c.waiting.restore(stillWaiting)
 	return effects
 }
 
-// resume tries the stage of a waiting request again and tells whether the
-// request still waits: the endpoint that is back need not be one for it.
-func (c *Core) resume(now time.Time, k *ticket) (effects []Effect, waits bool) {
-	s := c.shard(k.requestID)
+// resume tries the current stage of a waiting request again and reports whether
+// the request still waits: the available endpoint need not be usable for it.
+func (c *Core) resume(now time.Time, wt *waiter) (effects []Effect, waiting bool) {
+	s := c.shard(wt.requestID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.requests[k.requestID]
-	if r == nil || r.ticket != k {
+	r := s.requests[wt.requestID]
+	if r == nil || r.waiter != wt {
 		return nil, false
 	}
-	t := &turn{core: c, shard: s, r: r, now: now}
-	t.start(r.unserved)
-	return t.effects, r.ticket == k
+	t := &transition{core: c, shard: s, r: r, now: now}
+	t.start(r.waitCause)
+	return t.effects, r.waiter == wt
 }
 
-// wait keeps a request until an endpoint of its pool is back, if that can
-// still serve it; otherwise is why the request ends if none comes back.
+// wait makes a request wait for an endpoint of its pool and reports whether it
+// does. It does not if too little time is left; noEndpoint is the cause with
+// which the request ends if no endpoint becomes available.
 //
-// Only a request that has begun is kept: its caller has nothing to gain from
-// coming back, as its first stages would run again. One that has not run is
-// refused at once.
-func (t *turn) wait(otherwise cause) bool {
+// Only a request that has started waits: its caller gains nothing by trying
+// again, as its first stages would run again. One that has not run is refused
+// at once.
+func (t *transition) wait(noEndpoint cause) bool {
 	r := t.r
 	until := r.giveUpAt.Add(-t.need())
-	if !r.begun() || !t.now.Before(until) {
+	if !r.started() || !t.now.Before(until) {
 		return false
 	}
-	if r.ticket != nil {
+	if r.waiter != nil {
 		return true
 	}
-	k := &ticket{requestID: r.RequestID, pool: r.stageAt(r.stage).Pool, until: until}
-	if !t.core.waiting.enter(k) {
+	wt := &waiter{requestID: r.RequestID, pool: r.stageAt(r.stage).Pool, until: until}
+	if !t.core.waiting.add(wt) {
 		return false
 	}
-	r.ticket, r.unserved = k, otherwise
-	if r.heardSince.IsZero() {
+	r.waiter, r.waitCause = wt, noEndpoint
+	if r.reportedSince.IsZero() {
 		t.setTimer(TimerWait, until)
 	} else {
-		t.setTimer(TimerWait, earlierOf(until, r.heardSince.Add(confirmWait)))
+		t.setTimer(TimerWait, earlierOf(until, r.reportedSince.Add(reportWait)))
 	}
 	return true
 }
 
-// waitOver takes in that no endpoint came back in time, or that none was heard of.
-func (t *turn) waitOver() {
+// onWaitTimeout handles the end of the wait. A request that waited for a report
+// tries any endpoint; others are given up.
+func (t *transition) onWaitTimeout() {
 	r := t.r
-	if r.heardSince.IsZero() {
-		t.conclude(r.unserved)
+	if r.reportedSince.IsZero() {
+		t.giveUp(r.waitCause)
 		return
 	}
-	r.heardSince = time.Time{}
+	r.reportedSince = time.Time{}
 	t.stopWaiting()
-	t.start(r.unserved)
+	t.start(r.waitCause)
 }
 
-// confirmLast keeps the last attempt of a stage, and those that replace one
-// which reached no endpoint, for an endpoint that has been heard of since the
-// others were lost.
+// requireReport restricts the last attempt of a stage, and those that replace
+// one which reached no endpoint, to endpoints that have reported after the
+// failed attempt was lost.
 //
-// It guards against requests that lose all their attempts within milliseconds
-// to endpoints that went together, as after a loss of power, when only the one
-// that was called is known to be gone.
-func (r *request) confirmLast(failed *attempt) {
-	r.heardSince = time.Time{}
-	made := r.attemptsOf(r.stage)
-	if made > 1 && made >= r.maxAttempts()-1 && !failed.lostAt.IsZero() {
-		r.heardSince = failed.lostAt
+// It prevents a request from losing all its attempts within milliseconds on
+// endpoints that failed together, as after a power loss, when only the endpoint
+// that was called is known to be lost.
+func (r *request) requireReport(failed *attempt) {
+	r.reportedSince = time.Time{}
+	attempts := r.attemptsOf(r.stage)
+	if attempts > 1 && attempts >= r.maxAttempts()-1 && !failed.lostAt.IsZero() {
+		r.reportedSince = failed.lostAt
 	}
 }
 
-// stopWaiting gives back the request's place in the wait room, if it has one.
-func (t *turn) stopWaiting() {
+// stopWaiting removes the request from the wait set, if it waits.
+func (t *transition) stopWaiting() {
 	r := t.r
-	if r.ticket == nil {
+	if r.waiter == nil {
 		return
 	}
-	t.core.waiting.leave(r.ticket)
-	r.ticket = nil
+	t.core.waiting.remove(r.waiter)
+	r.waiter = nil
 	r.timers[TimerWait] = 0
 }
 
-// begun tells whether any part of the request has run or may have run.
-func (r *request) begun() bool {
+// started reports whether any part of the request has run or may have run.
+func (r *request) started() bool {
 	if r.stage > 0 {
 		return true
 	}
 	for _, a := range r.attempts {
-		if a.knowledge != notRun {
+		if a.execState != notRun {
 			return true
 		}
 	}
 	return false
 }
 
-// tried lists the endpoints that were sent the stage.
+// tried lists the endpoints that the stage was sent to.
 func (r *request) tried(stage int) []route.Tried {
 	var list []route.Tried
 	for _, a := range r.attempts {
