--- a/pipeline/admit.go
+++ b/pipeline/admit.go
@@ -65,10 +65,11 @@
 	return true
 }
 
-// entryOf returns the Entry of the request's CallIDs. A held ID may be
-// submitted several times through this entry. The submission number prevents a
-// late reply to one submission from being accepted as a reply to another, and
-// an agent's tombstone for one from blocking another.
+// entryOf returns the Entry of the request's CallIDs. A held ID, which the
+// caller fetched beforehand, may be submitted several times through this entry.
+// The submission number prevents a late reply to one submission from being
+// accepted as a reply to another, and an agent's tombstone for one from
+// blocking another.
 func (c *Core) entryOf(r *request) string {
 	if r.Identity.Kind != wire.IdentityHeld {
 		return c.cfg.Entry
--- a/pipeline/attempt.go
+++ b/pipeline/attempt.go
@@ -67,8 +67,8 @@
 	streamStopped bool
 }
 
-// advance raises the execution state to k if k is higher.
-func (a *attempt) advance(k execState) { a.execState = max(a.execState, k) }
+// advance raises the execution state to s if s is higher.
+func (a *attempt) advance(s execState) { a.execState = max(a.execState, s) }
 
 // ended reports whether the call itself has ended, with or without a reply.
 func (a *attempt) ended() bool { return a.result != nil || a.notWritten || a.lost }
--- a/pipeline/core.go
+++ b/pipeline/core.go
@@ -135,7 +135,7 @@
 }
 
 // transition applies one event to a request and collects the effects. r is nil
-// if the request is not in the shard.
+// if the request is not known to the shard.
 type transition struct {
 	core    *Core
 	shard   *shard
--- a/pipeline/finish.go
+++ b/pipeline/finish.go
@@ -8,7 +8,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// transient holds the reasons that pass with time, so that the client may try
+// transient lists the reasons that pass with time, so that the client may try
 // again later.
 var transient = map[api.Reason]bool{
 	api.ReasonRateLimited:      true,
--- a/pipeline/giveup.go
+++ b/pipeline/giveup.go
@@ -8,9 +8,9 @@
 )
 
 // giveUp stops the request: no further call is made. Outstanding calls are
-// revoked, and the reply is sent as soon as it is known whether they ran, or
-// after revokeWait at the latest. If a complete answer may still arrive, the
-// deadline bounds the wait instead.
+// revoked. The reply is sent as soon as the outcome can no longer change, or
+// after revokeWait with what is known then; while a complete answer may still
+// arrive, only the deadline bounds the wait.
 func (t *transition) giveUp(c cause) {
 	r := t.r
 	t.stopWaiting()
@@ -25,8 +25,8 @@
 	if r.replied || r.phase != revoking {
 		return
 	}
-	// A result may still arrive before its revocation takes effect; then the
-	// deadline timer ends the wait.
+	// While a result may still overtake its revocation, the deadline timer ends
+	// the wait.
 	if !r.mayBeAnswered() {
 		t.setTimer(TimerOutcome, earlierOf(t.now.Add(revokeWait), r.Deadline))
 	}
@@ -59,7 +59,8 @@
 // replies can prove something. That requires every stage to be bound: a
 // repeatable stage of an earlier submission may have run on any endpoint, and
 // no single process knows. For pipelines with such a stage the outcome is
-// unknown whenever an earlier submission is possible.
+// unknown whenever an earlier submission is possible, whether or not there was
+// one.
 func (t *transition) peek() {
 	r := t.r
 	if !r.allBound() || !t.now.Before(r.Deadline) {
--- a/pipeline/model_test.go
+++ b/pipeline/model_test.go
@@ -408,18 +408,18 @@
 func (w *simulation) receiveCall(a *agentModel, r *run, f *transit, reply func(wire.StageResult)) {
 	c := r.call
 	identity := c.Identity.Value + c.ID.Stage
-	switch held := a.identities[identity]; {
+	switch earlier := a.identities[identity]; {
 	case a.rejected[c.ID], !w.now.Before(c.Deadline), w.chance("refuse", 10):
 		a.rejected[c.ID] = true
-		reply(w.refusal(a, c, held))
+		reply(w.refusal(a, c, earlier))
 		return
 	case c.Binding != nil && !w.owns(a, *c.Binding):
 		reply(wire.StageResult{Status: wire.StatusUnknown})
 		return
-	case c.Unrepeatable && held != nil && held.done:
-		reply(wire.StageResult{Status: wire.StatusDone, Replayed: true, Output: quote(held.output)})
+	case c.Unrepeatable && earlier != nil && earlier.done:
+		reply(wire.StageResult{Status: wire.StatusDone, Replayed: true, Output: quote(earlier.output)})
 		return
-	case c.Unrepeatable && held != nil:
+	case c.Unrepeatable && earlier != nil:
 		reply(wire.StageResult{Status: wire.StatusUnknown})
 		return
 	}
@@ -444,8 +444,8 @@
 
 // refusal is the agent's reply to a call that it does not run. It says that
 // nothing ran only if the agent knows that of earlier submissions too.
-func (w *simulation) refusal(a *agentModel, c wire.StageCall, held *run) wire.StageResult {
-	if held != nil || (c.Binding != nil && !w.owns(a, *c.Binding)) {
+func (w *simulation) refusal(a *agentModel, c wire.StageCall, earlier *run) wire.StageResult {
+	if earlier != nil || (c.Binding != nil && !w.owns(a, *c.Binding)) {
 		return wire.StageResult{Status: wire.StatusUnknown}
 	}
 	return wire.StageResult{Status: wire.StatusRefused, Reason: api.ReasonOverloaded}
--- a/pipeline/request.go
+++ b/pipeline/request.go
@@ -176,10 +176,10 @@
 	return r.MayHaveEarlier
 }
 
-// hasAttemptIn reports whether some attempt is in state k.
-func (r *request) hasAttemptIn(k execState) bool {
+// hasAttemptIn reports whether some attempt is in state s.
+func (r *request) hasAttemptIn(s execState) bool {
 	for _, a := range r.attempts {
-		if a.execState == k {
+		if a.execState == s {
 			return true
 		}
 	}
--- a/pipeline/result.go
+++ b/pipeline/result.go
@@ -55,11 +55,11 @@
 	}
 	wasEnded := a.ended()
 	a.result = &res
-	k, known := execStateByStatus[res.Status]
+	state, known := execStateByStatus[res.Status]
 	if !known {
-		k = mayHaveRun
+		state = mayHaveRun
 	}
-	a.advance(k)
+	a.advance(state)
 	a.elapsed = t.now.Sub(a.sentAt)
 	a.cost = max(a.cost, res.Cost)
 	if res.Crashed || res.Reason == api.ReasonNoEndpoint {
--- a/pipeline/stage.go
+++ b/pipeline/stage.go
@@ -9,7 +9,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// fatal holds the reasons that hold for every endpoint, so that another attempt
+// fatal lists the reasons that apply to every endpoint, so that another attempt
 // would fail likewise.
 var fatal = map[api.Reason]bool{
 	api.ReasonBadRequest:      true,
@@ -123,8 +123,8 @@
 	return log
 }
 
-// send emits the Call of a new attempt to an endpoint. hedge is true for a
-// hedge; alone tells the agent to run no other call beside it.
+// send emits the Call of a new attempt to an endpoint. hedge is true if the
+// attempt is a hedge; alone asks the agent to run no other call beside it.
 func (t *transition) send(to *route.Endpoint, hedge, alone bool) {
 	r := t.r
 	stage := r.stageAt(r.stage)
@@ -247,9 +247,9 @@
 		t.giveUp(c)
 		return
 	}
-	verdict := t.core.cfg.Retrier.Decide(r.failure(failed, t.now, t.need()), t.now)
-	if !verdict.Retry {
-		c.detail = join(c.detail, "no retry: "+string(verdict.Reason))
+	decision := t.core.cfg.Retrier.Decide(r.failure(failed, t.now, t.need()), t.now)
+	if !decision.Retry {
+		c.detail = join(c.detail, "no retry: "+string(decision.Reason))
 		t.giveUp(c)
 		return
 	}
--- a/pipeline/wait.go
+++ b/pipeline/wait.go
@@ -10,8 +10,8 @@
 // an agent checks its endpoint at this interval and reports a change at once.
 const reportWait = time.Second
 
-// maxFailedResumes bounds the waiting requests that are tried without success
-// in one go.
+// maxFailedResumes bounds how many waiting requests are tried without success
+// each time that endpoints become available.
 const maxFailedResumes = 64
 
 // Waiting returns the number of requests that wait for an endpoint.
@@ -62,8 +62,9 @@
 }
 
 // wait makes a request wait for an endpoint of its pool and reports whether it
-// does. It does not if too little time is left; noEndpoint is the cause with
-// which the request ends if no endpoint becomes available.
+// waits. It does not wait if too little time is left or the wait set is full.
+// noEndpoint is the cause with which the request ends if no endpoint becomes
+// available.
 //
 // Only a request that has started waits: its caller gains nothing by trying
 // again, as its first stages would run again. One that has not run is refused
