--- a/retry/adaptive.go
+++ b/retry/adaptive.go
@@ -14,8 +14,8 @@
 	})
 }
 
-// adaptive tries again only what can still be answered in time, and only
-// within the pool's budget.
+// adaptive retries only what can still be answered before the deadline, and
+// only within the pool's budget.
 type adaptive struct {
 	maxAttempts int
 	budget      *Budget
@@ -26,8 +26,8 @@
 	a.budget = NewBudget(policy.RetryBudget)
 }
 
-// Decide implements Policy. The budget comes last, so that nothing is charged
-// for a retry that is not made.
+// Decide implements Policy. It checks the budget last, so that a retry that is
+// not made is not charged.
 func (a *adaptive) Decide(f Failure, now time.Time) Verdict {
 	switch {
 	case !repeatable(f):
@@ -47,4 +47,4 @@
 func (a *adaptive) Success(pool string, now time.Time) { a.budget.Success(pool, now) }
 
 // Hedge implements Policy.
-func (a *adaptive) Hedge(pool string, now time.Time) bool { return a.budget.TakeSpare(pool, now) }
+func (a *adaptive) Hedge(pool string, now time.Time) bool { return a.budget.TakeForHedge(pool, now) }
--- a/retry/naive.go
+++ b/retry/naive.go
@@ -14,11 +14,12 @@
 	})
 }
 
-// naiveRetries is how often the naive policy tries again.
+// naiveRetries is the number of retries that the naive policy makes.
 const naiveRetries = 3
 
-// naive is the baseline: three retries, whatever the load and the time left.
-// It too must not run an unrepeatable call twice.
+// naive is the baseline policy: it retries a fixed number of times, whatever
+// the load and the remaining time. It too never runs an unrepeatable call
+// twice.
 type naive struct{}
 
 // Decide implements Policy.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,6 @@
-// Package retry decides whether a failed attempt of a stage is tried again,
-// or a second one started beside a slow one. Only the entry retries: agents
-// and clients of endpoints never do, or attempts would multiply.
+// Package retry decides whether a failed attempt of a stage is retried and
+// whether a slow one is hedged. Only the entry retries: if agents and clients
+// of endpoints did too, attempts would multiply.
 package retry
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Namespace of the retry plug-ins; the rest of the ID is the policy's name.
+// Namespace is the module namespace of the retry plug-ins; the rest of the ID
+// is the policy's name.
 const Namespace = "retry.policy."
 
 var errs = errorx.NewNamespace("retry")
@@ -21,17 +22,18 @@
 // ErrUnknownPolicy is returned for a policy name without a retry plug-in.
 var ErrUnknownPolicy = errs.NewType("unknown_policy")
 
-// Failure is a failed attempt.
+// Failure describes a failed attempt.
 type Failure struct {
 	Pool string
-	// Status is the agent's word on the attempt; StatusLost also when the
-	// agent itself was lost.
+	// Status is the status of the attempt as reported by the agent; it is
+	// StatusLost also when the agent itself was lost.
 	Status wire.StageStatus
-	// Attempts made so far that count against the maximum, this one included.
+	// Attempts is the number of attempts made so far that count against the
+	// maximum, including this one.
 	Attempts     int
 	Unrepeatable bool
-	// NotReached: the call got to no endpoint, which was down or could not be
-	// reached, so that another attempt is no further load for the pool.
+	// NotReached is true when the call reached no endpoint because it was down
+	// or unreachable, so that another attempt adds no load to the pool.
 	NotReached bool
 	// Remaining is the time left before the deadline.
 	Remaining time.Duration
@@ -39,10 +41,10 @@
 	Need time.Duration
 }
 
-// Reason says why a failure is tried again, or not.
+// Reason is why a failed attempt is retried or not.
 type Reason string
 
-// The reasons.
+// The reasons of a decision.
 const (
 	ReasonRetry        Reason = "retry"
 	ReasonUnrepeatable Reason = "unrepeatable"
@@ -51,23 +53,26 @@
 	ReasonBudget       Reason = "budget_empty"
 )
 
-// Verdict is the outcome of Decide.
+// Verdict is the result of Decide.
 type Verdict struct {
 	Retry  bool
 	Reason Reason
 }
 
-// Policy decides on retries. Hedges ask Take of the same budget.
+// Policy decides on retries and hedges; both are charged to the same budget.
 type Policy interface {
-	// Decide judges a failed attempt and, if it is to be tried again, charges the budget.
+	// Decide decides whether a failed attempt is retried, and charges the
+	// budget if it is.
 	Decide(f Failure, now time.Time) Verdict
-	// Success refills the budget of a pool.
+	// Success refills the budget of a pool after a successful call.
 	Success(pool string, now time.Time)
-	// Hedge tells whether a second, concurrent attempt may start, and charges it.
+	// Hedge reports whether a hedge may start, and charges the budget if it
+	// may.
 	Hedge(pool string, now time.Time) bool
 }
 
-// New returns the retry policy of the bundle's policy.
+// New returns the retry policy that is registered under the name of a bundle's
+// policy. The error is ErrUnknownPolicy if there is none.
 func New(policy bundle.Policy) (Policy, error) {
 	p, err := kernel.Load[Policy](Namespace + kernel.ModuleID(policy.Name))
 	if err != nil {
@@ -84,8 +89,9 @@
 	configure(policy bundle.Policy)
 }
 
-// repeatable tells whether another attempt cannot run an unrepeatable call
-// twice: it may be repeated, or the agent said first-hand that it did not run.
+// repeatable reports whether another attempt cannot run an unrepeatable call
+// twice: the call may be repeated, or the agent itself reported that it did not
+// run.
 func repeatable(f Failure) bool {
 	return f.Status == wire.StatusRefused || !f.Unrepeatable && f.Status != wire.StatusUnknown
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestDecide(t *testing.T) {
-	fits := Failure{Pool: "llm", Status: wire.StatusLost, Attempts: 1, Remaining: 2 * time.Second, Need: time.Second}
+	retryable := Failure{Pool: "llm", Status: wire.StatusLost, Attempts: 1, Remaining: 2 * time.Second, Need: time.Second}
 	with := func(change func(f *Failure)) Failure {
-		f := fits
+		f := retryable
 		change(&f)
 		return f
 	}
@@ -37,7 +37,7 @@
 		adaptive Reason
 		naive    Reason
 	}{
-		"lost":            {fits, ReasonRetry, ReasonRetry},
+		"lost":            {retryable, ReasonRetry, ReasonRetry},
 		"failed":          {with(func(f *Failure) { f.Status = wire.StatusFailed }), ReasonRetry, ReasonRetry},
 		"second retry":    {with(func(f *Failure) { f.Attempts = 2 }), ReasonRetry, ReasonRetry},
 		"attempts used":   {with(func(f *Failure) { f.Attempts = 3 }), ReasonAttempts, ReasonRetry},
@@ -60,9 +60,10 @@
 	}
 }
 
-// Story: engines are down and every call fails. Callers keep sending, a
-// thousand calls in ten seconds. Naive retries make four thousand of them;
-// the budget adds what was saved and one a second.
+// Guards against retries that multiply the load of an outage: engines are down,
+// every call fails, and callers send a thousand calls in ten seconds. Naive
+// retries make four thousand of them; the budget adds only the saved tokens and
+// one per second.
 func TestOutageIsNotAmplified(t *testing.T) {
 	attempts := func(p Policy) int {
 		sent := 0
@@ -99,11 +100,11 @@
 	assert.Assert(t, !newPolicy(t, bundle.PolicyNaive).Hedge("llm", start))
 }
 
-// TestBudgetBound holds any sequence against the bound that Budget states.
+// TestBudgetBound checks random sequences against the bound that Budget documents.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const share = 0.1
-		b := NewBudget(share)
+		const ratio = 0.1
+		b := NewBudget(ratio)
 		now := start
 		successes, taken := 0, 0
 		for range rapid.IntRange(0, 400).Draw(t, "events") {
@@ -118,7 +119,7 @@
 				}
 			}
 		}
-		bound := share*float64(successes) + now.Sub(start).Seconds() + reserve
+		bound := ratio*float64(successes) + now.Sub(start).Seconds() + reserveTokens
 		assert.Assert(t, float64(taken) <= bound+1e-6, "%d retries, bound %v", taken, bound)
 	})
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,84 +5,89 @@
 	"time"
 )
 
-// windowParts is into how many parts a window is divided: the oldest part
-// leaves as a whole, so the count errs by at most one part, to the safe side.
-const windowParts = 10
+// windowBuckets is the number of buckets of a window. The oldest bucket expires
+// as a whole, so the counts cover at most the window and at least all but one
+// bucket of it; first sends are never counted beyond the window.
+const windowBuckets = 10
 
-// Window bounds the repeated sends to each service in a sliding window:
-// at most ratio x first sends + slack.
+// Window bounds the repeated sends to each service in a sliding window: at most
+// ratio times the first sends, plus slack.
 //
-// The failure that it guards against: answers are lost, each process of the
-// fleet sends its requests again, and the service gets many times its load
-// while it has least room. Each process keeps to its share of the fleet's
-// bound, so that the sum holds without any message between them.
+// It guards against retry storms: answers are lost, each process of the fleet
+// sends its requests again, and the service gets many times its load just when
+// its capacity is lowest. Each process keeps to its share of the fleet's bound,
+// so that the sum holds without coordination.
 type Window struct {
 	span  time.Duration
 	ratio float64
 
 	mu       sync.Mutex
-	services map[string]*windowCount
-	// epoch is the first time seen; parts are counted from it on the
-	// monotonic clock, which does not jump with the time of day.
+	services map[string]*serviceWindow
+	// epoch is the first time seen; buckets are counted from it on the
+	// monotonic clock, which does not jump when the wall clock is set.
 	epoch time.Time
 }
 
-type windowCount struct {
-	part    int64
-	first   [windowParts]int
-	repeats [windowParts]int
+// serviceWindow holds the counts for one service; bucket is the number of the
+// current bucket since the epoch.
+type serviceWindow struct {
+	bucket  int64
+	first   [windowBuckets]int
+	repeats [windowBuckets]int
 }
 
-// NewWindow returns a bound over span; ratio is the share of first sends that
-// may be sent again.
+// NewWindow returns a Window of length span; ratio is the number of repeated
+// sends allowed per first send.
 func NewWindow(span time.Duration, ratio float64) *Window {
-	return &Window{span: span, ratio: ratio, services: make(map[string]*windowCount)}
+	return &Window{span: span, ratio: ratio, services: make(map[string]*serviceWindow)}
 }
 
 // First counts the first send of a request.
 func (w *Window) First(service string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := w.count(service, now)
-	c.first[c.part%windowParts]++
+	counts := w.advance(service, now)
+	counts.first[counts.bucket%windowBuckets]++
 }
 
-// Take counts one more send, if the bound allows it; slack is this process's
-// share of the fleet's.
+// Take counts a repeated send and reports whether the bound allows it; a send
+// that is not allowed is not counted. slack is this process's share of the
+// fleet's slack.
 func (w *Window) Take(service string, slack float64, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := w.count(service, now)
+	counts := w.advance(service, now)
 	first, repeats := 0, 0
-	for i := range windowParts {
-		first += c.first[i]
-		repeats += c.repeats[i]
+	for i := range windowBuckets {
+		first += counts.first[i]
+		repeats += counts.repeats[i]
 	}
 	if float64(repeats+1) > w.ratio*float64(first)+slack {
 		return false
 	}
-	c.repeats[c.part%windowParts]++
+	counts.repeats[counts.bucket%windowBuckets]++
 	return true
 }
 
-// count moves the service's window to now.
-func (w *Window) count(service string, now time.Time) *windowCount {
+// advance moves the service's window to now, clears the buckets that have
+// expired and returns the counts.
+func (w *Window) advance(service string, now time.Time) *serviceWindow {
 	if w.epoch.IsZero() {
 		w.epoch = now
 	}
-	part := int64(now.Sub(w.epoch) / (w.span / windowParts))
+	bucket := int64(now.Sub(w.epoch) / (w.span / windowBuckets))
 	c := w.services[service]
 	if c == nil {
-		c = &windowCount{part: part}
+		c = &serviceWindow{bucket: bucket}
 		w.services[service] = c
 	}
-	if part-c.part >= windowParts {
-		*c = windowCount{part: part}
+	if bucket-c.bucket >= windowBuckets {
+		*c = serviceWindow{bucket: bucket}
 	}
-	for c.part < part {
-		c.part++
-		c.first[c.part%windowParts] = 0
-		c.repeats[c.part%windowParts] = 0
+	for c.bucket < bucket {
+		c.bucket++
+		c.first[c.bucket%windowBuckets] = 0
+		c.repeats[c.bucket%windowBuckets] = 0
 	}
 	return c
 }
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -24,9 +24,9 @@
 	assert.Assert(t, !w.Take("s", 0, now.Add(11*time.Second)), "the first sends are forgotten too")
 }
 
-// Whenever a repeat is allowed, the window that ends there has no more repeats
-// than the ratio of its first sends and the slack. The naive counterpart keeps
-// all times.
+// Whenever a repeated send is allowed, the window that ends there has no more
+// of them than ratio times its first sends, plus the slack. The reference model
+// keeps the times of all sends.
 func TestWindowKeepsItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span, ratio, slack = 10 * time.Second, 0.2, 5.0
@@ -45,7 +45,7 @@
 				continue
 			}
 			repeats = append(repeats, now)
-			in := func(times []time.Time, span time.Duration) int {
+			countWithin := func(times []time.Time, span time.Duration) int {
 				n := 0
 				for _, at := range times {
 					if now.Sub(at) < span {
@@ -54,9 +54,10 @@
 				}
 				return n
 			}
-			// Parts leave as a whole, so the count may reach back one part less.
-			allowed := ratio*float64(in(firsts, span)) + slack
-			assert.Assert(t, float64(in(repeats, span-span/10)) <= allowed)
+			// Buckets expire as a whole, so the window may be one bucket
+			// shorter.
+			allowed := ratio*float64(countWithin(firsts, span)) + slack
+			assert.Assert(t, float64(countWithin(repeats, span-span/10)) <= allowed)
 		}
 	})
 }
