--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -16,16 +16,17 @@
 
 const ms = time.Millisecond
 
-// pools is a PoolLoad.
-type pools map[string]route.Occupancy
+// fixedLoad is a PoolLoad with a fixed load of each pool.
+type fixedLoad map[string]route.Occupancy
 
-func (p pools) Occupancy(pool string, _ time.Time) route.Occupancy { return p[pool] }
+func (p fixedLoad) Occupancy(pool string, _ time.Time) route.Occupancy { return p[pool] }
 
-// measured is a Quantiles with the same median and high quantile for all.
-type measured map[string][2]route.Estimate
+// fixedQuantiles is a Quantiles with a fixed median and high quantile of each
+// stage.
+type fixedQuantiles map[string][2]route.Estimate
 
-func (m measured) Quantile(key route.StageKey, q float64, _ time.Time) route.Estimate {
-	if q == middle {
+func (m fixedQuantiles) Quantile(key route.StageKey, q float64, _ time.Time) route.Estimate {
+	if q == medianQuantile {
 		return m[key.Stage][0]
 	}
 	return m[key.Stage][1]
@@ -50,40 +51,40 @@
 		return [2]route.Estimate{{Value: p50, Samples: 100}, {Value: p90, Samples: 100}}
 	}
 	tests := map[string]struct {
-		est       measured
-		load      pools
+		est       fixedQuantiles
+		load      fixedLoad
 		remaining time.Duration
-		want      Verdict
+		want      Decision
 	}{
 		"fits": {
-			load: pools{"a": occupied(10, 0), "b": occupied(10, 9)}, remaining: 500 * ms,
-			want: Verdict{OK: true, Need: 500 * ms},
+			load: fixedLoad{"a": occupied(10, 0), "b": occupied(10, 9)}, remaining: 500 * ms,
+			want: Decision{OK: true, Need: 500 * ms},
 		},
 		"queue in a later stage": {
-			load: pools{"a": occupied(10, 0), "b": occupied(10, 19)}, remaining: 800 * ms,
-			want: Verdict{Reason: api.ReasonOverloaded, Need: 900 * ms, RetryAfter: 100 * ms},
+			load: fixedLoad{"a": occupied(10, 0), "b": occupied(10, 19)}, remaining: 800 * ms,
+			want: Decision{Reason: api.ReasonOverloaded, Need: 900 * ms, RetryAfter: 100 * ms},
 		},
 		"queues drain together": {
-			load: pools{"a": occupied(10, 19), "b": occupied(10, 19)}, remaining: 700 * ms,
-			want: Verdict{Reason: api.ReasonOverloaded, Need: 1000 * ms, RetryAfter: 200 * ms},
+			load: fixedLoad{"a": occupied(10, 19), "b": occupied(10, 19)}, remaining: 700 * ms,
+			want: Decision{Reason: api.ReasonOverloaded, Need: 1000 * ms, RetryAfter: 200 * ms},
 		},
 		"too short without queues": {
-			load: pools{"a": occupied(10, 0), "b": occupied(10, 0)}, remaining: 400 * ms,
-			want: Verdict{Reason: api.ReasonDeadlineTooShort, Need: 500 * ms},
+			load: fixedLoad{"a": occupied(10, 0), "b": occupied(10, 0)}, remaining: 400 * ms,
+			want: Decision{Reason: api.ReasonDeadlineTooShort, Need: 500 * ms},
 		},
 		"nowhere to run": {
-			load: pools{"a": occupied(10, 0)}, remaining: time.Minute,
-			want: Verdict{Reason: api.ReasonNoEndpoint, Need: 500 * ms, RetryAfter: 500 * ms},
+			load: fixedLoad{"a": occupied(10, 0)}, remaining: time.Minute,
+			want: Decision{Reason: api.ReasonNoEndpoint, Need: 500 * ms, RetryAfter: 500 * ms},
 		},
 		"measured": {
-			est:  measured{"a": fresh(200*ms, 500*ms), "b": fresh(200*ms, 600*ms)},
-			load: pools{"a": occupied(10, 0), "b": occupied(10, 0)}, remaining: 400 * ms,
-			want: Verdict{OK: true, Need: 400 * ms},
+			est:  fixedQuantiles{"a": fresh(200*ms, 500*ms), "b": fresh(200*ms, 600*ms)},
+			load: fixedLoad{"a": occupied(10, 0), "b": occupied(10, 0)}, remaining: 400 * ms,
+			want: Decision{OK: true, Need: 400 * ms},
 		},
 		"margin when crowded": {
-			est:  measured{"a": fresh(200*ms, 500*ms), "b": fresh(200*ms, 600*ms)},
-			load: pools{"a": occupied(10, 5), "b": occupied(10, 0)}, remaining: 600 * ms,
-			want: Verdict{Reason: api.ReasonOverloaded, Need: 650 * ms, RetryAfter: 50 * ms},
+			est:  fixedQuantiles{"a": fresh(200*ms, 500*ms), "b": fresh(200*ms, 600*ms)},
+			load: fixedLoad{"a": occupied(10, 5), "b": occupied(10, 0)}, remaining: 600 * ms,
+			want: Decision{Reason: api.ReasonOverloaded, Need: 650 * ms, RetryAfter: 50 * ms},
 		},
 	}
 	for name, test := range tests {
@@ -94,10 +95,11 @@
 	}
 }
 
-// Story: engines stall for a few seconds, and the calls that come back late
-// make the measured times longer than any deadline. From then on every caller
-// is refused, though the engines are well again and idle: no request runs, so
-// nothing corrects the times. Only because old times fade is one let in.
+// Guards against refusals that never end: engines stall for a few seconds, and
+// the calls that return late make the measured times longer than any deadline.
+// From then on every caller is refused although the engines are healthy and
+// idle: no request runs, so nothing corrects the times. A request is admitted
+// only because old times lose weight.
 func TestRefusalsEndWithoutNewMeasurements(t *testing.T) {
 	pipeline := pipelineOf(100 * ms)
 	key := route.StageKey{Pool: "a", Stage: "a"}
@@ -105,7 +107,7 @@
 	for range 50 {
 		est.Observe(key, 4*time.Second, start)
 	}
-	load := pools{"a": occupied(10, 0)}
+	load := fixedLoad{"a": occupied(10, 0)}
 	assert.Assert(t, !Check(start, pipeline, time.Second, est, load).OK)
 	refused := 0
 	now := start
@@ -115,30 +117,31 @@
 		assert.Assert(t, now.Before(start.Add(8*time.Second)), "still refusing")
 	}
 	assert.Assert(t, refused > 20)
-	// The first ones let in find the engines well, and times follow them.
+	// The first requests admitted find healthy engines, and the measured times
+	// follow.
 	for range 100 {
 		est.Observe(key, 90*ms, now)
 	}
 	assert.Assert(t, Check(now.Add(200*ms), pipeline, 150*ms, est, load).OK)
 }
 
-// Story: the same trap by way of load: the last report of each endpoint named
-// a long queue, and no call is sent that would bring a newer one.
+// Guards against the same for load: the last report of each endpoint showed a
+// long queue, and no call is sent that would bring a newer report.
 func TestRefusalsEndWithoutNewReports(t *testing.T) {
 	e := &route.Endpoint{Name: "e", Load: new(route.Load), ReportedAt: start}
 	e.Report.Capacity, e.Report.InFlight, e.Report.Queued, e.Report.P50 = 8, 8, 80, 100*ms
 	snap := &route.Snapshot{Pools: map[string]*route.Pool{"a": route.NewPool("a", "entry", []*route.Endpoint{e})}}
 	pipeline := pipelineOf(100 * ms)
-	assert.Assert(t, !Check(start, pipeline, time.Second, measured{}, snap).OK)
-	assert.Assert(t, Check(start.Add(3*time.Second), pipeline, time.Second, measured{}, snap).OK)
+	assert.Assert(t, !Check(start, pipeline, time.Second, fixedQuantiles{}, snap).OK)
+	assert.Assert(t, Check(start.Add(3*time.Second), pipeline, time.Second, fixedQuantiles{}, snap).OK)
 }
 
-// TestCheckAgainstStraightforward compares with the same rules written down
-// as plain sums, and RetryAfter with a search in small steps.
-func TestCheckAgainstStraightforward(t *testing.T) {
+// TestCheckAgainstReference compares Check with the same rules written as plain
+// sums, and checks RetryAfter by computing the need after that time.
+func TestCheckAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var typical []time.Duration
-		est, load := measured{}, pools{}
+		est, load := fixedQuantiles{}, fixedLoad{}
 		for i := range rapid.IntRange(1, bundle.MaxStages).Draw(t, "stages") {
 			name := string(rune('a' + i))
 			typical = append(typical, time.Duration(rapid.IntRange(1, 500).Draw(t, "typical"))*ms)
@@ -180,7 +183,7 @@
 
 func BenchmarkCheck(b *testing.B) {
 	pipeline := pipelineOf(10*ms, 10*ms, 15*ms, 150*ms)
-	est, load := route.NewEstimator(), pools{}
+	est, load := route.NewEstimator(), fixedLoad{}
 	for _, s := range pipeline.Stages {
 		load[s.Pool] = occupied(16, 12)
 		for range 100 {
--- a/admit/forecast.go
+++ b/admit/forecast.go
@@ -9,50 +9,53 @@
 )
 
 const (
-	// middle and high are the quantiles that a forecast rests on.
-	middle = 0.5
-	high   = 0.9
-	// trusted is how long after the latest measurement it is fully believed,
-	// halfLife how long it then takes to count half.
-	trusted  = 2 * time.Second
-	halfLife = 2 * time.Second
-	// enough is how many measurements outweigh the bundle's typical time.
-	enough = 8
+	// medianQuantile and highQuantile are the quantiles of the measured times
+	// that a forecast uses.
+	medianQuantile = 0.5
+	highQuantile   = 0.9
+	// freshFor is how long after the latest measurement an estimate has full
+	// weight; weightHalfLife is the time in which the weight halves after that.
+	freshFor       = 2 * time.Second
+	weightHalfLife = 2 * time.Second
+	// fullWeightSamples is the number of measurements from which on an estimate
+	// replaces the bundle's typical time.
+	fullWeightSamples = 8
 )
 
 // stageForecast is the expected time of one stage.
 type stageForecast struct {
 	pool string
-	// service is the median time on an endpoint, spread how much longer the
-	// high quantile is, wait the time in the queue.
+	// service is the median time on an endpoint; spread is the difference
+	// between the high quantile and the median; wait is the time in the queue.
 	service time.Duration
 	spread  time.Duration
 	wait    time.Duration
 }
 
-// forecast is the expected time of a request's stages.
+// forecast is the expected time of all stages of a request.
 type forecast struct {
 	stages [bundle.MaxStages]stageForecast
 	count  int
-	// crowded is how far the most loaded pool is from idle, 0 to 1.
-	crowded float64
-	// unserved: some pool has no endpoint that takes work.
-	unserved bool
+	// utilization is that of the most loaded pool: its calls, running and
+	// queued, per capacity, from 0 to 1.
+	utilization float64
+	// noEndpoint is true when some pool has no endpoint that accepts work.
+	noEndpoint bool
 }
 
-func forecastOf(now time.Time, stages []bundle.Stage, est Quantiles, load PoolLoad) forecast {
+func newForecast(now time.Time, stages []bundle.Stage, est Quantiles, load PoolLoad) forecast {
 	var f forecast
 	for i := range stages[:min(len(stages), bundle.MaxStages)] {
 		stage := &stages[i]
 		o := load.Occupancy(stage.Pool, now)
 		if o.Endpoints == 0 {
-			f.unserved = true
+			f.noEndpoint = true
 		}
-		s := stageOf(now, stage, est)
-		// Two stages on one pool meet its queue twice, as two calls.
+		s := forecastStage(now, stage, est)
+		// Two stages on one pool wait in its queue twice, as two calls.
 		s.wait = o.Wait(s.service)
 		if o.Capacity > 0 {
-			f.crowded = max(f.crowded, min(1, float64(o.InFlight+o.Queued)/float64(o.Capacity)))
+			f.utilization = max(f.utilization, min(1, float64(o.InFlight+o.Queued)/float64(o.Capacity)))
 		}
 		f.stages[i] = s
 		f.count++
@@ -60,48 +63,49 @@
 	return f
 }
 
-// stageOf estimates a stage from its measured times, faded towards the
-// bundle's typical time.
+// forecastStage estimates a stage from its measured times, which lose weight
+// with age in favour of the bundle's typical time.
 //
-// The failure that fading guards against: an endpoint pool is slow for a
-// moment, the measured times say that nothing fits, and every request is
-// refused. Then nothing runs, nothing is measured, and the last times stand
-// for ever; callers see refusals from an idle system. With fading, some
-// seconds without a measurement bring the estimate back to where requests fit
-// again, and the first ones let in measure anew. Load fades likewise, in
-// package route.
-func stageOf(now time.Time, stage *bundle.Stage, est Quantiles) stageForecast {
+// This guards against refusals that never end: a pool is slow for a moment, the
+// measured times say that no request fits, and every request is refused. Then
+// nothing runs, nothing is measured, the last times stay, and callers are
+// refused by an idle system. As the measured times lose weight, some seconds
+// without a measurement bring the estimate back to where requests fit again,
+// and the first ones admitted are measured anew. Package route lets reported
+// load lose weight likewise.
+func forecastStage(now time.Time, stage *bundle.Stage, est Quantiles) stageForecast {
 	typical := stage.Typical.D()
 	s := stageForecast{pool: stage.Pool, service: typical}
 	key := route.StageKey{Pool: stage.Pool, Stage: stage.Name}
-	m := est.Quantile(key, middle, now)
-	weight := belief(m)
+	m := est.Quantile(key, medianQuantile, now)
+	weight := estimateWeight(m)
 	if weight == 0 {
 		return s
 	}
-	s.service = fade(typical, m.Value, weight)
-	h := est.Quantile(key, high, now)
-	s.spread = fade(0, max(0, h.Value-m.Value), weight)
+	s.service = interpolate(typical, m.Value, weight)
+	h := est.Quantile(key, highQuantile, now)
+	s.spread = interpolate(0, max(0, h.Value-m.Value), weight)
 	return s
 }
 
-// belief is the weight of an estimate, 0 to 1.
-func belief(e route.Estimate) float64 {
+// estimateWeight returns the weight of an estimate, from 0 to 1.
+func estimateWeight(e route.Estimate) float64 {
 	if e.Samples == 0 {
 		return 0
 	}
-	weight := min(1, float64(e.Samples)/enough)
-	if e.Age > trusted {
-		weight *= math.Exp2(-float64(e.Age-trusted) / float64(halfLife))
+	weight := min(1, float64(e.Samples)/fullWeightSamples)
+	if e.Age > freshFor {
+		weight *= math.Exp2(-float64(e.Age-freshFor) / float64(weightHalfLife))
 	}
 	return weight
 }
 
-func fade(from, to time.Duration, weight float64) time.Duration {
+// interpolate returns the value between from and to at weight, from 0 to 1.
+func interpolate(from, to time.Duration, weight float64) time.Duration {
 	return from + time.Duration(float64(to-from)*weight)
 }
 
-// service is the time of all stages without queues.
+// service returns the time of all stages without queues.
 func (f *forecast) service() time.Duration {
 	var sum time.Duration
 	for i := range f.count {
@@ -110,11 +114,11 @@
 	return sum
 }
 
-// need is the time of all stages, with queues and a margin. The margin is the
-// spread of the sum, the root of the sum of squares since the stages vary
-// independently. It counts in so far as pools are loaded: on idle endpoints
-// even an unlikely answer is worth a try, on full ones it takes the place of
-// a likely one.
+// need returns the time of all stages, with queues and a margin. The margin is
+// the spread of the sum, that is the root of the sum of squares, since the
+// stages vary independently. It is scaled by the utilization: on idle endpoints
+// even a request that is unlikely to finish is worth a try; on full ones it
+// takes the place of one that is likely to.
 func (f *forecast) need() time.Duration {
 	sum := f.service()
 	var squares float64
@@ -122,15 +126,17 @@
 		sum += f.stages[i].wait
 		squares += f.stages[i].spread.Seconds() * f.stages[i].spread.Seconds()
 	}
-	margin := math.Sqrt(squares) * f.crowded
+	margin := math.Sqrt(squares) * f.utilization
 	return sum + time.Duration(margin*float64(time.Second))
 }
 
-// drain is the time after which the waits are shorter by excess together. All
-// queues drain at once, so several get there sooner than one; one that is
-// empty no longer helps. What the queues cannot give, the margin does when
-// the pools are no longer crowded, which is at the end of the longest queue.
-func (f *forecast) drain(excess time.Duration) time.Duration {
+// drainTime returns the time after which the waits are shorter by excess in
+// total. All queues drain at once, so that several reach this sooner than one;
+// a queue that is empty contributes no more. What the queues cannot contribute
+// must come from the margin, which shrinks as the pools become less loaded,
+// from the end of the longest queue on; that part of excess is added as a time
+// of its own.
+func (f *forecast) drainTime(excess time.Duration) time.Duration {
 	var after time.Duration
 	for excess > 0 {
 		shortest, queues := time.Duration(math.MaxInt64), time.Duration(0)
