--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance chooses endpoints of plain services: by what they said of
-// their load, by this process's own requests in flight, by how long answers
-// took and by how often requests failed. It does no I/O.
+// Package balance chooses endpoints of plain services by the load that they
+// reported, this process's own requests in flight, the latency of answers and
+// the failure rate. It does no I/O.
 package balance
 
 import (
@@ -16,84 +16,92 @@
 )
 
 const (
-	// latencyWeight is the share of the newest answer in an endpoint's latency.
+	// latencyWeight is the weight of the newest answer in an endpoint's average
+	// latency.
 	latencyWeight = 0.2
-	// latencyGuess is the latency of an endpoint that has not answered yet.
-	latencyGuess = 60 * time.Millisecond
-	// failWeight is the share of the newest outcome in the failure rate.
-	failWeight = 0.25
-	// failHalfLife is the time in which a failure rate halves without new evidence.
-	failHalfLife = 3 * time.Second
-	// failCost is what a failure rate of 1 costs: about as much as an answer
-	// that misses its objective.
-	failCost = 2 * time.Second
-	// remoteCost is added for an endpoint in another failure domain: two ways
-	// between domains and the price of the bytes.
-	remoteCost = 4 * time.Millisecond
-	// loadSpan is how long what an endpoint said of its load is believed.
-	loadSpan = time.Second
-	// pauseFirst and pauseMax bound the time for which an endpoint that did
-	// not answer comes last.
-	pauseFirst = 200 * time.Millisecond
-	pauseMax   = 3 * time.Second
-	// pauseFull is the same for one that refused a request without running it:
-	// about the time in which one of its requests ends.
-	pauseFull = 50 * time.Millisecond
+	// initialLatency is the latency assumed for an endpoint that has not
+	// answered yet.
+	initialLatency = 60 * time.Millisecond
+	// failureWeight is the weight of the newest outcome in the failure rate.
+	failureWeight = 0.25
+	// failureHalfLife is the time in which a failure rate halves without new
+	// outcomes.
+	failureHalfLife = 3 * time.Second
+	// failureCost is the cost of a failure rate of 1, and of a pause: about
+	// that of an answer that misses its latency objective.
+	failureCost = 2 * time.Second
+	// remoteDomainCost is added for an endpoint in another failure domain: the
+	// round trip between the domains and the price of the traffic.
+	remoteDomainCost = 4 * time.Millisecond
+	// loadReportTTL is how long a load reported by an endpoint is used.
+	loadReportTTL = time.Second
+	// minPause and maxPause bound the time for which an endpoint that did not
+	// answer is ranked last.
+	minPause = 200 * time.Millisecond
+	maxPause = 3 * time.Second
+	// fullPause is that time for an endpoint that refused a request without
+	// running it: about the time until one of its requests ends.
+	fullPause = 50 * time.Millisecond
 )
 
-// Outcome is how a request at an endpoint ended.
+// Outcome is how a request to an endpoint ended.
 type Outcome int
 
 // The outcomes.
 const (
 	// Served requests were answered by the endpoint.
 	Served Outcome = iota
-	// Failed requests were answered with an error of the endpoint.
+	// Failed requests were answered with an error by the endpoint.
 	Failed
-	// Silent requests had no usable answer.
+	// Silent requests got no usable answer.
 	Silent
-	// Full requests were refused without being run.
+	// Full requests were refused by the endpoint without being run.
 	Full
-	// Abandoned requests ended by the client's doing and say nothing.
+	// Abandoned requests were ended by the client and say nothing about the
+	// endpoint.
 	Abandoned
 )
 
-// Balancer knows the endpoints of all services.
+// Balancer tracks the endpoints of all services and chooses among them.
 type Balancer struct {
 	domain string
-	// phase spreads the first requests of a fleet's members to a cold endpoint.
-	phase float64
-	mu    sync.Mutex
-	// states are kept by Key.
-	states map[string]*state
+	// coldPhase, from 0 to 1, spreads out the first requests that the members
+	// of a fleet send to a cold endpoint.
+	coldPhase float64
+	mu        sync.Mutex
+	// states is keyed by the endpoint's Key.
+	states map[string]*endpointState
 }
 
-type state struct {
-	inFlight int
-	latency  time.Duration
-	failures health.Rate
-	pause    health.Pause
-	pace     warm.Pace
-	// waiting is the load that the endpoint reported at loadAt, less our own share of it.
-	waiting int
-	loadAt  time.Time
+// endpointState is what this process knows about one endpoint.
+type endpointState struct {
+	inFlight  int
+	latency   time.Duration
+	failures  health.Rate
+	pause     health.Pause
+	coldLimit warm.Pace
+	// reportedLoad is the number of running and waiting requests that the
+	// endpoint reported at loadAt.
+	reportedLoad int
+	loadAt       time.Time
 }
 
-// New returns a balancer for a process in the failure domain.
+// New returns a Balancer for a process in the failure domain.
 func New(domain string) *Balancer {
-	return &Balancer{domain: domain, phase: rand.Float64(), states: make(map[string]*state)}
+	return &Balancer{domain: domain, coldPhase: rand.Float64(), states: make(map[string]*endpointState)}
 }
 
-// Pick returns the endpoint with the least expected cost that takes work and is
-// not in avoid by its Key, and counts a request for it; nil if there is none.
-// share is this process's part of the requests that a cold endpoint bears.
+// Pick returns the endpoint with the lowest expected cost that accepts work, is
+// not in avoid by its Key and, while it is cold, may be sent another request;
+// nil if there is none. It counts a request in flight at that endpoint. share
+// is this process's share of the request rate that a cold endpoint can take.
 func (b *Balancer) Pick(now time.Time, endpoints []*catalog.Endpoint, avoid map[string]bool, share float64) *catalog.Endpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var best *catalog.Endpoint
 	var least time.Duration
 	for _, e := range endpoints {
-		if !e.TakesWork() || avoid[e.Key()] || !b.state(e.Key()).pace.Allows(now, e, share, b.phase) {
+		if !e.TakesWork() || avoid[e.Key()] || !b.state(e.Key()).coldLimit.Allows(now, e, share, b.coldPhase) {
 			continue
 		}
 		if cost := b.cost(now, e); best == nil || cost < least {
@@ -103,73 +111,77 @@
 	if best != nil {
 		s := b.state(best.Key())
 		s.inFlight++
-		s.pace.Sent(now, best)
+		s.coldLimit.Sent(now, best)
 	}
 	return best
 }
 
-// cost is the expected time until an answer.
+// cost returns the expected time until an answer, plus penalties for failures,
+// a pause and another failure domain.
 func (b *Balancer) cost(now time.Time, e *catalog.Endpoint) time.Duration {
 	s := b.state(e.Key())
 	load := s.inFlight
-	if now.Sub(s.loadAt) < loadSpan {
-		load = max(load, s.waiting)
+	if now.Sub(s.loadAt) < loadReportTTL {
+		load = max(load, s.reportedLoad)
 	}
 	slots := max(1, e.Slots)
 	cost := s.latency + s.latency*time.Duration(load)/time.Duration(slots)
-	cost += time.Duration(float64(failCost) * s.failures.At(failHalfLife, now))
+	cost += time.Duration(float64(failureCost) * s.failures.At(failureHalfLife, now))
 	if e.Domain != b.domain {
-		cost += remoteCost
+		cost += remoteDomainCost
 	}
 	if s.pause.Active(now) {
-		cost += failCost
+		cost += failureCost
 	}
 	return cost
 }
 
-func (b *Balancer) state(key string) *state {
+func (b *Balancer) state(key string) *endpointState {
 	s := b.states[key]
 	if s == nil {
-		s = &state{latency: latencyGuess}
+		s = &endpointState{latency: initialLatency}
 		b.states[key] = s
 	}
 	return s
 }
 
-// Ended takes the outcome of a request that Pick counted at the endpoint with
-// that Key: what an ended process did says nothing of the next one. load is what the
-// endpoint said of its running and waiting requests; negative if nothing.
+// Ended records the outcome of a request that Pick counted at the endpoint with
+// that Key. A Key identifies one process of an endpoint, so that outcomes of an
+// ended process do not count for its successor. load is the number of running
+// and waiting requests that the endpoint reported; negative if it reported
+// none.
 func (b *Balancer) Ended(now time.Time, key string, outcome Outcome, took time.Duration, load int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(key)
 	s.inFlight--
 	if load >= 0 {
-		s.waiting = load
+		s.reportedLoad = load
 		s.loadAt = now
 	}
 	switch outcome {
 	case Served:
 		s.latency += time.Duration(latencyWeight * float64(took-s.latency))
-		s.learn(now, false)
+		s.recordOutcome(now, false)
 		s.pause.Clear()
 	case Failed:
-		s.learn(now, true)
+		s.recordOutcome(now, true)
 		s.pause.Clear()
 	case Full:
-		s.pause.Hold(pauseFull, now)
+		s.pause.Hold(fullPause, now)
 	case Silent:
-		s.learn(now, true)
-		s.pause.Fail(pauseFirst, pauseMax, now)
+		s.recordOutcome(now, true)
+		s.pause.Fail(minPause, maxPause, now)
 	case Abandoned:
 	}
 }
 
-func (s *state) learn(now time.Time, failed bool) {
-	s.failures.Learn(failed, failWeight, failHalfLife, now)
+func (s *endpointState) recordOutcome(now time.Time, failed bool) {
+	s.failures.Learn(failed, failureWeight, failureHalfLife, now)
 }
 
-// Forget drops the state of endpoints that are gone.
+// Forget drops the state of endpoints that are no longer in the view and have
+// no request in flight.
 func (b *Balancer) Forget(view *catalog.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -180,19 +192,21 @@
 	}
 }
 
-// Stats is what this process believes of one endpoint.
+// Stats is what this process knows about one endpoint.
 type Stats struct {
-	// Endpoint is the Key.
+	// Endpoint is the endpoint's Key.
 	Endpoint string        `json:"endpoint"`
 	InFlight int           `json:"in_flight"`
 	Latency  time.Duration `json:"latency"`
-	// FailureRate is the share of failed requests, newest ones first.
+	// FailureRate is the moving share of failed requests, in which recent ones
+	// count more.
 	FailureRate float64 `json:"failure_rate"`
-	// Paused endpoints come last: they have just not answered, or were full.
+	// Paused is true while the endpoint is ranked last because it recently did
+	// not answer or was full.
 	Paused bool `json:"paused,omitempty"`
 }
 
-// Stats lists the endpoints that requests were sent to, by ID.
+// Stats lists the endpoints that this process keeps state for, sorted by Key.
 func (b *Balancer) Stats(now time.Time) []Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,7 +217,7 @@
 			Endpoint:    key,
 			InFlight:    s.inFlight,
 			Latency:     s.latency,
-			FailureRate: s.failures.At(failHalfLife, now),
+			FailureRate: s.failures.At(failureHalfLife, now),
 			Paused:      s.pause.Active(now),
 		})
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -52,8 +52,9 @@
 	assert.Equal(t, pick(b, list, "1"), "")
 }
 
-// An endpoint fails every request while its health check is good. Users must
-// be sent elsewhere after a few of them, and come back when it is well.
+// Guards against an endpoint that fails every request while its health check
+// passes: after a few failures requests must go to another endpoint, and return
+// once it may be healthy again.
 func TestFailingEndpointIsLeftAndTriedAgain(t *testing.T) {
 	b := New("north")
 	list := endpoints("north", "south")
@@ -62,12 +63,12 @@
 		b.Ended(epoch, "0", Failed, time.Millisecond, -1)
 	}
 	assert.Equal(t, pick(b, list), "1")
-	b.Ended(epoch, "1", Served, latencyGuess, -1)
+	b.Ended(epoch, "1", Served, initialLatency, -1)
 	later := epoch.Add(30 * time.Second)
 	assert.Equal(t, b.Pick(later, list, nil, 1).ID, "0")
 }
 
-// A client that leaves says nothing about the endpoint.
+// Guards against blaming an endpoint for requests that the client abandoned.
 func TestAbandonedRequestsDoNotCount(t *testing.T) {
 	b := New("north")
 	list := endpoints("north", "south")
@@ -82,26 +83,26 @@
 	b := New("north")
 	list := endpoints("north", "south")
 	b.Pick(epoch, list[:1], nil, 1)
-	b.Ended(epoch, "0", Served, latencyGuess, 20)
+	b.Ended(epoch, "0", Served, initialLatency, 20)
 	assert.Equal(t, pick(b, list), "1")
-	b.Ended(epoch, "1", Served, latencyGuess, 0)
-	assert.Equal(t, b.Pick(epoch.Add(2*loadSpan), list, nil, 1).ID, "0")
+	b.Ended(epoch, "1", Served, initialLatency, 0)
+	assert.Equal(t, b.Pick(epoch.Add(2*loadReportTTL), list, nil, 1).ID, "0")
 }
 
-// The choice is that of the naive comparison of all costs, and requests in
-// flight are never counted below zero.
-func TestPickAsTheNaiveOne(t *testing.T) {
+// Checks Pick against a plain comparison of all costs, and that every request
+// counted in flight is released once.
+func TestPickAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New("north")
 		list := endpoints("north", "south", "north", "east")
 		now := epoch
-		var flying []string
+		var inFlight []string
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-			if len(flying) > 0 && rapid.Bool().Draw(t, "end") {
+			if len(inFlight) > 0 && rapid.Bool().Draw(t, "end") {
 				o := Outcome(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "outcome"))
-				b.Ended(now, flying[0], o, time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*time.Millisecond, rapid.IntRange(-1, 9).Draw(t, "load"))
-				flying = flying[1:]
+				b.Ended(now, inFlight[0], o, time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*time.Millisecond, rapid.IntRange(-1, 9).Draw(t, "load"))
+				inFlight = inFlight[1:]
 				continue
 			}
 			least := time.Duration(-1)
@@ -120,9 +121,9 @@
 					assert.Equal(t, costs[i], least)
 				}
 			}
-			flying = append(flying, chosen.ID)
+			inFlight = append(inFlight, chosen.ID)
 		}
-		for _, id := range flying {
+		for _, id := range inFlight {
 			b.Ended(now, id, Served, time.Millisecond, -1)
 		}
 		for id, s := range b.states {
@@ -131,9 +132,10 @@
 	})
 }
 
-// An endpoint gets nothing for seconds although it is well: it started again
-// under its ID, and the failures, the slow answers and the requests in flight of
-// its last process still counted. Late outcomes of that one must not count either.
+// Guards against an endpoint that gets no requests for seconds although it is
+// healthy: it restarted under its ID, and the failures, the slow answers and
+// the requests in flight of its previous process still counted. Late outcomes
+// of that process must not count either.
 func TestNewIncarnationStartsAfresh(t *testing.T) {
 	b := New("north")
 	old := &catalog.Endpoint{ID: "0", Incarnation: 1, Domain: "north", Slots: 1}
@@ -147,7 +149,7 @@
 	assert.Equal(t, pick(b, list), "1")
 	list[0] = &catalog.Endpoint{ID: "0", Incarnation: 2, Domain: "north", Slots: 1}
 	assert.Equal(t, pick(b, list), "0")
-	b.Ended(epoch, list[0].Key(), Served, latencyGuess, -1)
+	b.Ended(epoch, list[0].Key(), Served, initialLatency, -1)
 	b.Ended(epoch, old.Key(), Silent, time.Second, -1)
 	assert.Equal(t, pick(b, list), "0")
 }
