--- a/admit/forecast.go
+++ b/admit/forecast.go
@@ -71,8 +71,8 @@
 // nothing runs, nothing is measured, the last times stay, and callers are
 // refused by an idle system. As the measured times lose weight, some seconds
 // without a measurement bring the estimate back to where requests fit again,
-// and the first ones admitted are measured anew. Package route lets reported
-// load lose weight likewise.
+// and the first ones admitted update the measurements. Package route lets
+// reported load lose weight likewise.
 func forecastStage(now time.Time, stage *bundle.Stage, est Quantiles) stageForecast {
 	typical := stage.Typical.D()
 	s := stageForecast{pool: stage.Pool, service: typical}
@@ -134,8 +134,8 @@
 // total. All queues drain at once, so that several reach this sooner than one;
 // a queue that is empty contributes no more. What the queues cannot contribute
 // must come from the margin, which shrinks as the pools become less loaded,
-// from the end of the longest queue on; that part of excess is added as a time
-// of its own.
+// from the end of the longest queue on; the result includes that remainder as
+// additional time.
 func (f *forecast) drainTime(excess time.Duration) time.Duration {
 	var after time.Duration
 	for excess > 0 {
--- a/pipeline/content_test.go
+++ b/pipeline/content_test.go
@@ -31,14 +31,14 @@
 // stage, and would never be refused.
 func TestSuccessOfOneStageDoesNotClearAnother(t *testing.T) {
 	s := &recordingSuspects{}
-	p := newPlayer(Config{Suspects: s})
-	p.run(send(admit(minted, one, two)), done(1), func(p *driver) Event {
-		return StageResult{wire.StageResult{ID: p.calls[1].ID, Status: wire.StatusLost, Crashed: true}}
+	d := newDriver(Config{Suspects: s})
+	d.run(send(admit(minted, one, two)), done(1), func(d *driver) Event {
+		return StageResult{wire.StageResult{ID: d.calls[1].ID, Status: wire.StatusLost, Crashed: true}}
 	})
 	assert.DeepEqual(t, s.succeeded, []string{suspect.Key("content", "one")})
 	assert.DeepEqual(t, s.crashed, []string{suspect.Key("content", "two")})
 
-	core := newPlayer(Config{Suspects: suspect.New("entry", 2)}).core
+	core := newDriver(Config{Suspects: suspect.New("entry", 2)}).core
 	crashes := 0
 	for i := range 10 {
 		crashes += crashAtTwo(core, fmt.Sprint(i))
--- a/pipeline/core_test.go
+++ b/pipeline/core_test.go
@@ -28,22 +28,22 @@
 
 // step builds the next event from the calls made so far; calls are numbered
 // from 1.
-type step func(p *driver) Event
+type step func(d *driver) Event
 
-func (p *driver) run(steps ...step) {
+func (d *driver) run(steps ...step) {
 	for _, s := range steps {
-		p.now = p.now.Add(ms)
-		effects := p.core.Handle(p.now, s(p))
-		p.effects = append(p.effects, effects...)
+		d.now = d.now.Add(ms)
+		effects := d.core.Handle(d.now, s(d))
+		d.effects = append(d.effects, effects...)
 		for _, e := range effects {
 			if c, ok := e.(Call); ok {
-				p.calls = append(p.calls, c)
+				d.calls = append(d.calls, c)
 			}
 		}
 	}
 }
 
-func (p *driver) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
+func (d *driver) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
 	for _, name := range []string{"e1", "e2", "e3"} {
 		if !tried(req, name) && (req.Only == "" || req.Only == name) {
 			e := &route.Endpoint{Name: name}
@@ -54,17 +54,17 @@
 	return route.Decision{Reason: route.ReasonAllTried}
 }
 
-func newPlayer(cfg Config) *driver {
-	p := &driver{now: epoch}
-	cfg.Entry, cfg.Picker = "entry/1", p
-	p.core = New(cfg)
-	return p
+func newDriver(cfg Config) *driver {
+	d := &driver{now: epoch}
+	cfg.Entry, cfg.Picker = "entry/1", d
+	d.core = New(cfg)
+	return d
 }
 
 // all returns the effects of type T.
-func all[T Effect](p *driver) []T {
+func all[T Effect](d *driver) []T {
 	var found []T
-	for _, e := range p.effects {
+	for _, e := range d.effects {
 		if x, ok := e.(T); ok {
 			found = append(found, x)
 		}
@@ -98,8 +98,8 @@
 func send(a Admit) step { return func(*driver) Event { return a } }
 
 func result(call int, status wire.StageStatus, output string) step {
-	return func(p *driver) Event {
-		res := wire.StageResult{ID: p.calls[call-1].ID, Status: status, Cost: 5 * ms}
+	return func(d *driver) Event {
+		res := wire.StageResult{ID: d.calls[call-1].ID, Status: status, Cost: 5 * ms}
 		if output != "" {
 			res.Output = quote(output)
 		}
@@ -110,57 +110,57 @@
 func done(call int) step    { return result(call, wire.StatusDone, "out") }
 func refused(call int) step { return result(call, wire.StatusRefused, "") }
 func conflict(call int) step {
-	return func(p *driver) Event {
-		return StageResult{wire.StageResult{ID: p.calls[call-1].ID, Status: wire.StatusRefused, Reason: api.ReasonKeyConflict}}
+	return func(d *driver) Event {
+		return StageResult{wire.StageResult{ID: d.calls[call-1].ID, Status: wire.StatusRefused, Reason: api.ReasonKeyConflict}}
 	}
 }
 
 // notReached is the reply of an agent whose endpoint is down.
 func notReached(call int) step {
-	return func(p *driver) Event {
-		return StageResult{wire.StageResult{ID: p.calls[call-1].ID, Status: wire.StatusRefused, Reason: api.ReasonNoEndpoint}}
+	return func(d *driver) Event {
+		return StageResult{wire.StageResult{ID: d.calls[call-1].ID, Status: wire.StatusRefused, Reason: api.ReasonNoEndpoint}}
 	}
 }
-func lost(call int) step { return func(p *driver) Event { return CallLost{p.calls[call-1].ID} } }
+func lost(call int) step { return func(d *driver) Event { return CallLost{d.calls[call-1].ID} } }
 func revokeLost(call int) step {
-	return func(p *driver) Event { return RevokeLost{p.calls[call-1].ID} }
+	return func(d *driver) Event { return RevokeLost{d.calls[call-1].ID} }
 }
 
 func notWritten(call int) step {
-	return func(p *driver) Event { return CallNotWritten{p.calls[call-1].ID} }
+	return func(d *driver) Event { return CallNotWritten{d.calls[call-1].ID} }
 }
 
 func ack(call int, state wire.RevokeState, incarnation string) step {
-	return func(p *driver) Event {
+	return func(d *driver) Event {
 		res := wire.RevokeResult{State: state}
 		res.Report.Process.Incarnation = incarnation
-		return RevokeAck{p.calls[call-1].ID, res}
+		return RevokeAck{d.calls[call-1].ID, res}
 	}
 }
 
 func peeked(state wire.PeekState) step {
-	return func(p *driver) Event {
-		sent := all[SendPeek](p)[0]
+	return func(d *driver) Event {
+		sent := all[SendPeek](d)[0]
 		return PeekReply{sent.RequestID, sent.Seq, sent.Stage, wire.PeekResult{State: state}}
 	}
 }
 
-func piece(call, seq int, text string) step {
-	return func(p *driver) Event {
-		return StageChunk{wire.StageChunk{ID: p.calls[call-1].ID, Seq: seq, Text: text}}
+func chunkFrom(call, seq int, text string) step {
+	return func(d *driver) Event {
+		return StageChunk{wire.StageChunk{ID: d.calls[call-1].ID, Seq: seq, Text: text}}
 	}
 }
 
 // timer fires the latest timer of a kind.
 func timer(kind TimerKind) step {
-	return func(p *driver) Event {
+	return func(d *driver) Event {
 		var latest SetTimer
-		for _, e := range all[SetTimer](p) {
+		for _, e := range all[SetTimer](d) {
 			if e.Kind == kind {
 				latest = e
 			}
 		}
-		p.now = latest.At
+		d.now = latest.At
 		return Timer{latest.RequestID, latest.Kind, latest.Seq}
 	}
 }
@@ -202,7 +202,7 @@
 		{"given up, result wins", []step{send(admit(minted, one)), timer(TimerGiveUp), done(1)}, api.OutcomeAnswered, ""},
 		{"given up, result after its acknowledgement", []step{send(admit(minted, one)), timer(TimerGiveUp), ack(1, wire.RevokedDone, "first"), done(1)}, api.OutcomeAnswered, ""},
 		{"given up, silence", []step{send(admit(minted, one)), timer(TimerGiveUp), timer(TimerDeadline)}, api.OutcomeUnknown, api.ReasonDeadline},
-		{"result after the deadline", []step{send(admit(minted, one)), func(p *driver) Event { p.now = p.now.Add(2 * time.Second); return done(1)(p) }}, api.OutcomeCutShort, api.ReasonDeadline},
+		{"result after the deadline", []step{send(admit(minted, one)), func(d *driver) Event { d.now = d.now.Add(2 * time.Second); return done(1)(d) }}, api.OutcomeCutShort, api.ReasonDeadline},
 		{"caller gone, not run", []step{send(admit(minted, one)), callerGone, ack(1, wire.RevokedNotRun, "first")}, api.OutcomeRefused, api.ReasonCallerGone},
 		{"caller gone, done", []step{send(admit(minted, one)), callerGone, done(1)}, api.OutcomeCutShort, api.ReasonCallerGone},
 		{"held order refused, owner never ran it", []step{send(held), refused(1), peeked(wire.PeekNever)}, api.OutcomeRefused, api.ReasonOverloaded},
@@ -218,15 +218,15 @@
 		{"key, repeatable", []step{send(key), refused(1), refused(2)}, api.OutcomeRefused, api.ReasonOverloaded},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newPlayer(Config{})
-			p.run(tc.steps...)
-			replies := all[Reply](p)
+			d := newDriver(Config{})
+			d.run(tc.steps...)
+			replies := all[Reply](d)
 			assert.Equal(t, len(replies), 1)
 			assert.Equal(t, replies[0].Outcome(), tc.want)
 			if tc.want != api.OutcomeAnswered {
 				assert.Equal(t, replies[0].Problem.Reason, tc.reason)
 			}
-			assert.Equal(t, p.core.InFlight(), 0)
+			assert.Equal(t, d.core.InFlight(), 0)
 		})
 	}
 }
@@ -235,13 +235,13 @@
 // answered: the second copy must neither be delivered nor advance another
 // request.
 func TestRepeatedResultIsDropped(t *testing.T) {
-	p := newPlayer(Config{})
-	p.run(send(admit(minted, one, two)), done(1), done(1), done(2), done(2))
-	assert.Equal(t, len(all[Reply](p)), 1)
-	assert.Equal(t, len(p.calls), 2)
-	assert.Equal(t, string(p.calls[1].Previous), `"out"`)
+	d := newDriver(Config{})
+	d.run(send(admit(minted, one, two)), done(1), done(1), done(2), done(2))
+	assert.Equal(t, len(all[Reply](d)), 1)
+	assert.Equal(t, len(d.calls), 2)
+	assert.Equal(t, string(d.calls[1].Previous), `"out"`)
 	dropped := 0
-	for _, r := range all[Record](p) {
+	for _, r := range all[Record](d) {
 		if r.Kind == ledger.KindDropped {
 			dropped++
 		}
@@ -250,14 +250,14 @@
 }
 
 func TestHedge(t *testing.T) {
-	p := newPlayer(Config{Quantiles: fixedQuantile(20 * ms)})
-	p.run(send(admit(minted, one)), timer(TimerHedge), result(2, wire.StatusDone, "fast"), done(1), ack(1, wire.RevokedDone, "first"))
-	assert.Equal(t, string(all[Reply](p)[0].Answer.Output), `"fast"`)
-	assert.Equal(t, all[Revoke](p)[0].Endpoint, "e1")
+	d := newDriver(Config{Quantiles: fixedQuantile(20 * ms)})
+	d.run(send(admit(minted, one)), timer(TimerHedge), result(2, wire.StatusDone, "fast"), done(1), ack(1, wire.RevokedDone, "first"))
+	assert.Equal(t, string(all[Reply](d)[0].Answer.Output), `"fast"`)
+	assert.Equal(t, all[Revoke](d)[0].Endpoint, "e1")
 	cost := Cost{Pipeline: "p", Stage: "one", Account: "account", Amount: 5 * ms}
 	useful := cost
 	useful.Useful = true
-	assert.DeepEqual(t, all[Cost](p), []Cost{useful, cost})
+	assert.DeepEqual(t, all[Cost](d), []Cost{useful, cost})
 }
 
 // Guards against hedging in a burst: when all engines are full, every call is
@@ -266,11 +266,11 @@
 func TestNoHedgeIntoAQueue(t *testing.T) {
 	busy := &route.Endpoint{Name: "e2", Load: new(route.Load), ReportedAt: epoch}
 	busy.Report.Capacity, busy.Report.InFlight = 4, 4
-	p := newPlayer(Config{Quantiles: fixedQuantile(20 * ms)})
-	p.run(send(admit(minted, one)))
-	p.core.cfg.Picker = fixedPicker{busy}
-	p.run(timer(TimerHedge))
-	assert.Equal(t, len(p.calls), 1)
+	d := newDriver(Config{Quantiles: fixedQuantile(20 * ms)})
+	d.run(send(admit(minted, one)))
+	d.core.cfg.Picker = fixedPicker{busy}
+	d.run(timer(TimerHedge))
+	assert.Equal(t, len(d.calls), 1)
 }
 
 type fixedPicker struct{ to *route.Endpoint }
@@ -285,36 +285,36 @@
 func TestStreamAfterRetry(t *testing.T) {
 	streamed := admit(minted, one)
 	streamed.Stream = true
-	start := []step{send(streamed), piece(1, 0, "The "), piece(1, 1, "frame"), piece(1, 1, "frame"), lost(1)}
-	text := func(p *driver) (s string) {
-		for i, c := range all[Chunk](p) {
+	start := []step{send(streamed), chunkFrom(1, 0, "The "), chunkFrom(1, 1, "frame"), chunkFrom(1, 1, "frame"), lost(1)}
+	text := func(d *driver) (s string) {
+		for i, c := range all[Chunk](d) {
 			assert.Equal(t, c.Seq, i)
 			s += c.Text
 		}
 		return s
 	}
-	p := newPlayer(Config{})
-	p.run(append(start, piece(2, 0, "The fr"), piece(2, 1, "ame fits"), done(2))...)
-	assert.Equal(t, text(p), "The frame fits")
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeAnswered)
+	d := newDriver(Config{})
+	d.run(append(start, chunkFrom(2, 0, "The fr"), chunkFrom(2, 1, "ame fits"), done(2))...)
+	assert.Equal(t, text(d), "The frame fits")
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeAnswered)
 	for name, rest := range map[string][]step{
-		"other text": {piece(2, 0, "A frame")},
-		"too short":  {piece(2, 0, "The"), done(2)},
-		"with a gap": {piece(2, 1, "ame fits"), done(2)},
+		"other text": {chunkFrom(2, 0, "A frame")},
+		"too short":  {chunkFrom(2, 0, "The"), done(2)},
+		"with a gap": {chunkFrom(2, 1, "ame fits"), done(2)},
 	} {
-		p := newPlayer(Config{})
-		p.run(append(slices.Clone(start), rest...)...)
-		assert.Equal(t, text(p), "The frame", name)
-		assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeCutShort, name)
+		d := newDriver(Config{})
+		d.run(append(slices.Clone(start), rest...)...)
+		assert.Equal(t, text(d), "The frame", name)
+		assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeCutShort, name)
 	}
 }
 
 func TestFullTable(t *testing.T) {
-	p := newPlayer(Config{MaxInFlight: 1})
+	d := newDriver(Config{MaxInFlight: 1})
 	second := admit(minted, one)
 	second.RequestID, second.Ref = "s", 2
-	p.run(send(admit(minted, one)), send(second), done(1))
-	replies := all[Reply](p)
+	d.run(send(admit(minted, one)), send(second), done(1))
+	replies := all[Reply](d)
 	assert.Equal(t, replies[0].Ref, uint64(2))
 	assert.Equal(t, replies[0].Outcome(), api.OutcomeRefused)
 	assert.Equal(t, replies[0].Problem.RetryAfter, defaultRetryAfter)
@@ -326,16 +326,16 @@
 func TestHeldIDSentAgain(t *testing.T) {
 	again := admit(wire.IdentityHeld, one)
 	again.Ref = 2
-	p := newPlayer(Config{})
-	p.run(send(admit(wire.IdentityHeld, one)), send(again), done(1), send(again))
-	replies := all[Reply](p)
+	d := newDriver(Config{})
+	d.run(send(admit(wire.IdentityHeld, one)), send(again), done(1), send(again))
+	replies := all[Reply](d)
 	assert.Equal(t, replies[0].Ref, uint64(2))
 	assert.Equal(t, replies[0].Problem.Reason, api.ReasonEarlierAttempt)
 	assert.Equal(t, replies[1].Ref, uint64(1))
-	p.run(done(1))
-	assert.Equal(t, len(all[Reply](p)), 2, "a result of the first submission answered the second")
-	p.run(done(2))
-	assert.Equal(t, len(all[Reply](p)), 3)
+	d.run(done(1))
+	assert.Equal(t, len(all[Reply](d)), 2, "a result of the first submission answered the second")
+	d.run(done(2))
+	assert.Equal(t, len(all[Reply](d)), 3)
 }
 
 // refuseAfterCrash refuses all content after the first crash.
@@ -352,15 +352,15 @@
 // Guards against a retry that crashes the next endpoint: when a request crashes
 // its endpoint, the crash must be counted before the retry is decided.
 func TestCrashCountsBeforeRetry(t *testing.T) {
-	p := newPlayer(Config{Suspects: &refuseAfterCrash{}})
-	p.run(send(admit(minted, one)), func(p *driver) Event {
-		return StageResult{wire.StageResult{ID: p.calls[0].ID, Status: wire.StatusLost, Crashed: true}}
+	d := newDriver(Config{Suspects: &refuseAfterCrash{}})
+	d.run(send(admit(minted, one)), func(d *driver) Event {
+		return StageResult{wire.StageResult{ID: d.calls[0].ID, Status: wire.StatusLost, Crashed: true}}
 	})
-	problem := all[Reply](p)[0].Problem
+	problem := all[Reply](d)[0].Problem
 	assert.Equal(t, problem.Reason, api.ReasonSuspectRequest)
 	assert.Equal(t, problem.Outcome, api.OutcomeUnknown)
 	assert.Equal(t, problem.RetryAfter, time.Minute)
-	assert.Equal(t, len(p.calls), 1)
+	assert.Equal(t, len(d.calls), 1)
 }
 
 // oneRequest takes a request of two stages through the core and returns the
@@ -382,7 +382,7 @@
 }
 
 func TestParallelRequests(t *testing.T) {
-	core := newPlayer(Config{}).core
+	core := newDriver(Config{}).core
 	var wg sync.WaitGroup
 	var answers atomic.Int64
 	for i := range 8 {
@@ -398,7 +398,7 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	core := newPlayer(Config{}).core
+	core := newDriver(Config{}).core
 	b.ReportAllocs()
 	for b.Loop() {
 		oneRequest(core, "r")
--- a/pipeline/ejected_test.go
+++ b/pipeline/ejected_test.go
@@ -14,18 +14,18 @@
 // is ejected, the waiting request is sent to another endpoint and gets its
 // answer.
 func TestEjectionMovesWaitingCalls(t *testing.T) {
-	p := newPlayer(Config{})
-	p.run(send(admit(minted, one)))
-	p.eject("e2")
-	assert.Equal(t, len(p.calls), 1, "ejected an endpoint that the call does not wait for")
-	p.eject("e1")
-	assert.Equal(t, len(p.calls), 2)
-	assert.Equal(t, p.calls[1].Endpoint, "e2")
-	p.eject("e1")
-	assert.Equal(t, len(p.calls), 2, "it also waits for another endpoint")
-	p.run(done(2))
-	assert.Assert(t, all[Reply](p)[0].Answer != nil)
-	assert.Equal(t, all[Revoke](p)[0].Endpoint, "e1")
+	d := newDriver(Config{})
+	d.run(send(admit(minted, one)))
+	d.eject("e2")
+	assert.Equal(t, len(d.calls), 1, "ejected an endpoint that the call does not wait for")
+	d.eject("e1")
+	assert.Equal(t, len(d.calls), 2)
+	assert.Equal(t, d.calls[1].Endpoint, "e2")
+	d.eject("e1")
+	assert.Equal(t, len(d.calls), 2, "it also waits for another endpoint")
+	d.run(done(2))
+	assert.Assert(t, all[Reply](d)[0].Answer != nil)
+	assert.Equal(t, all[Revoke](d)[0].Endpoint, "e1")
 }
 
 func TestEjectionMovesOnlyWhatMayRunTwice(t *testing.T) {
@@ -36,10 +36,10 @@
 		"unrepeatable": admit(minted, order), "attempts used": spent, "no time": late,
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlayer(Config{})
-			p.run(send(a))
-			p.eject("e1")
-			assert.Equal(t, len(p.calls), 1)
+			d := newDriver(Config{})
+			d.run(send(a))
+			d.eject("e1")
+			assert.Equal(t, len(d.calls), 1)
 		})
 	}
 }
@@ -51,27 +51,27 @@
 func TestEjectionContinuesStream(t *testing.T) {
 	a := admit(minted, one)
 	a.Stream = true
-	p := newPlayer(Config{})
-	p.run(send(a), piece(1, 0, "The "))
-	p.eject("e1")
-	p.run(piece(2, 0, "The frame"), piece(1, 1, "lens"), done(1))
-	assert.Equal(t, len(all[Reply](p)), 0)
-	assert.Equal(t, all[Revoke](p)[0].Endpoint, "e1")
-	p.run(piece(2, 1, " fits"), done(2))
+	d := newDriver(Config{})
+	d.run(send(a), chunkFrom(1, 0, "The "))
+	d.eject("e1")
+	d.run(chunkFrom(2, 0, "The frame"), chunkFrom(1, 1, "lens"), done(1))
+	assert.Equal(t, len(all[Reply](d)), 0)
+	assert.Equal(t, all[Revoke](d)[0].Endpoint, "e1")
+	d.run(chunkFrom(2, 1, " fits"), done(2))
 	text := ""
-	for _, c := range all[Chunk](p) {
+	for _, c := range all[Chunk](d) {
 		text += c.Text
 	}
 	assert.Equal(t, text, "The frame fits")
-	assert.Assert(t, all[Reply](p)[0].Answer != nil)
+	assert.Assert(t, all[Reply](d)[0].Answer != nil)
 }
 
-func (p *driver) eject(endpoint string) {
-	p.now = p.now.Add(ms)
-	for _, e := range p.core.EndpointEjected(p.now, endpoint) {
-		p.effects = append(p.effects, e)
+func (d *driver) eject(endpoint string) {
+	d.now = d.now.Add(ms)
+	for _, e := range d.core.EndpointEjected(d.now, endpoint) {
+		d.effects = append(d.effects, e)
 		if c, ok := e.(Call); ok {
-			p.calls = append(p.calls, c)
+			d.calls = append(d.calls, c)
 		}
 	}
 }
--- a/pipeline/wait_test.go
+++ b/pipeline/wait_test.go
@@ -56,20 +56,22 @@
 	return at
 }
 
-func newWaiting(pool *poolPicker, limit int) *driver {
-	p := &driver{now: epoch}
-	p.core = New(Config{Entry: "entry/1", Picker: pool, Quantiles: fixedQuantile(20 * ms), MaxWaiting: limit})
-	return p
+// newWaitingDriver returns a driver whose Core picks endpoints from pool and
+// lets at most limit requests wait; 0 means the default.
+func newWaitingDriver(pool *poolPicker, limit int) *driver {
+	d := &driver{now: epoch}
+	d.core = New(Config{Entry: "entry/1", Picker: pool, Quantiles: fixedQuantile(20 * ms), MaxWaiting: limit})
+	return d
 }
 
-func (p *driver) endpointsBack(pool *poolPicker, slots int) {
-	p.now = p.now.Add(ms)
-	pool.unavailable, pool.reportedAt = false, p.now
-	effects := p.core.EndpointsBack(p.now, "a", slots)
-	p.effects = append(p.effects, effects...)
+func (d *driver) endpointsBack(pool *poolPicker, slots int) {
+	d.now = d.now.Add(ms)
+	pool.unavailable, pool.reportedAt = false, d.now
+	effects := d.core.EndpointsBack(d.now, "a", slots)
+	d.effects = append(d.effects, effects...)
 	for _, e := range effects {
 		if c, ok := e.(Call); ok {
-			p.calls = append(p.calls, c)
+			d.calls = append(d.calls, c)
 		}
 	}
 }
@@ -78,40 +80,40 @@
 // endpoint of the next stage's pool is unavailable for a moment.
 func TestStartedRequestWaitsForItsPool(t *testing.T) {
 	pool := &poolPicker{}
-	p := newWaiting(pool, 0)
-	p.run(send(admit(minted, one, two)))
+	d := newWaitingDriver(pool, 0)
+	d.run(send(admit(minted, one, two)))
 	pool.unavailable = true
-	p.run(done(1))
-	assert.Equal(t, p.core.Waiting(), 1)
-	assert.Equal(t, len(all[Reply](p)), 0)
-	p.endpointsBack(pool, 1)
-	p.run(done(2))
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeAnswered)
-	assert.Equal(t, p.core.Waiting(), 0)
+	d.run(done(1))
+	assert.Equal(t, d.core.Waiting(), 1)
+	assert.Equal(t, len(all[Reply](d)), 0)
+	d.endpointsBack(pool, 1)
+	d.run(done(2))
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeAnswered)
+	assert.Equal(t, d.core.Waiting(), 0)
 }
 
 // Guards against failing a request together with the only endpoint of a pool,
 // which restarts in time to run it.
 func TestRestartedEndpointIsTriedAgain(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch}
-	p := newWaiting(pool, 0)
-	p.run(send(admit(minted, one)))
+	d := newWaitingDriver(pool, 0)
+	d.run(send(admit(minted, one)))
 	pool.unavailable = true
-	p.run(lost(1))
-	assert.Equal(t, p.core.Waiting(), 1)
-	p.endpointsBack(pool, 1)
-	assert.Equal(t, p.calls[1].Endpoint, "e1")
-	p.run(done(2))
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeAnswered)
+	d.run(lost(1))
+	assert.Equal(t, d.core.Waiting(), 1)
+	d.endpointsBack(pool, 1)
+	assert.Equal(t, d.calls[1].Endpoint, "e1")
+	d.run(done(2))
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeAnswered)
 }
 
 // Guards against holding a request of which nothing has run, although it is
 // unknown when it can be served.
 func TestRequestThatHasNotRunIsRefusedAtOnce(t *testing.T) {
 	pool := &poolPicker{unavailable: true}
-	p := newWaiting(pool, 0)
-	p.run(send(admit(minted, one, two)))
-	reply := all[Reply](p)[0]
+	d := newWaitingDriver(pool, 0)
+	d.run(send(admit(minted, one, two)))
+	reply := all[Reply](d)[0]
 	assert.Equal(t, reply.Outcome(), api.OutcomeRefused)
 	assert.Equal(t, reply.Problem.Reason, api.ReasonNoEndpoint)
 	assert.Assert(t, reply.Problem.RetryAfter > 0)
@@ -121,32 +123,32 @@
 // for the rest of the request.
 func TestWaitEndsWhenTooLittleTimeIsLeft(t *testing.T) {
 	pool := &poolPicker{}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	a := admit(minted, one, two)
-	p.run(send(a))
+	d.run(send(a))
 	pool.unavailable = true
-	p.run(done(1), timer(TimerWait))
-	reply := all[Reply](p)[0]
+	d.run(done(1), timer(TimerWait))
+	reply := all[Reply](d)[0]
 	assert.Equal(t, reply.Outcome(), api.OutcomeCutShort)
 	assert.Equal(t, reply.Problem.Reason, api.ReasonNoEndpoint)
-	assert.Assert(t, p.now.Before(a.Deadline.Add(-20*ms)), "ended at %v", p.now.Sub(epoch))
-	assert.Equal(t, p.core.Waiting(), 0)
+	assert.Assert(t, d.now.Before(a.Deadline.Add(-20*ms)), "ended at %v", d.now.Sub(epoch))
+	assert.Equal(t, d.core.Waiting(), 0)
 }
 
 // Guards against an unbounded number of waiting requests: each holds the
 // outputs of its stages in memory.
 func TestFullWaitSetEndsRequests(t *testing.T) {
 	pool := &poolPicker{}
-	p := newWaiting(pool, 1)
+	d := newWaitingDriver(pool, 1)
 	for i := range 2 {
 		a := admit(minted, one, two)
 		a.RequestID, a.Ref = fmt.Sprint("r", i), uint64(i+1)
-		p.run(send(a))
+		d.run(send(a))
 	}
 	pool.unavailable = true
-	p.run(done(1), done(2))
-	assert.Equal(t, p.core.Waiting(), 1)
-	assert.Equal(t, all[Reply](p)[0].Problem.Reason, api.ReasonNoEndpoint)
+	d.run(done(1), done(2))
+	assert.Equal(t, d.core.Waiting(), 1)
+	assert.Equal(t, all[Reply](d)[0].Problem.Reason, api.ReasonNoEndpoint)
 }
 
 // Guards against sending all waiting requests at once to a pool that has just
@@ -154,19 +156,19 @@
 // are slots.
 func TestWaitingRequestsReturnInOrder(t *testing.T) {
 	pool := &poolPicker{}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	for i, left := range []time.Duration{900 * ms, 500 * ms, 700 * ms} {
 		a := admit(minted, one, two)
 		a.RequestID, a.Ref, a.Deadline = fmt.Sprint("r", i), uint64(i+1), epoch.Add(left)
-		p.run(send(a))
+		d.run(send(a))
 	}
 	pool.unavailable = true
-	p.run(done(1), done(2), done(3))
-	p.endpointsBack(pool, 2)
-	assert.Equal(t, len(p.calls), 5)
-	assert.Equal(t, p.calls[3].ID.Request, "r1")
-	assert.Equal(t, p.calls[4].ID.Request, "r2")
-	assert.Equal(t, p.core.Waiting(), 1)
+	d.run(done(1), done(2), done(3))
+	d.endpointsBack(pool, 2)
+	assert.Equal(t, len(d.calls), 5)
+	assert.Equal(t, d.calls[3].ID.Request, "r1")
+	assert.Equal(t, d.calls[4].ID.Request, "r2")
+	assert.Equal(t, d.core.Waiting(), 1)
 }
 
 // Guards against leaking a place in the wait set when the caller leaves, the
@@ -180,15 +182,15 @@
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			pool := &poolPicker{}
-			p := newWaiting(pool, 0)
-			p.run(send(admit(minted, one, two)), done(1))
+			d := newWaitingDriver(pool, 0)
+			d.run(send(admit(minted, one, two)), done(1))
 			pool.unavailable = true
-			p.run(lost(2))
-			assert.Equal(t, p.core.Waiting(), 1)
-			p.run(end)
-			assert.Equal(t, p.core.Waiting(), 0)
+			d.run(lost(2))
+			assert.Equal(t, d.core.Waiting(), 1)
+			d.run(end)
+			assert.Equal(t, d.core.Waiting(), 0)
 			picks := pool.picks
-			p.endpointsBack(pool, 10)
+			d.endpointsBack(pool, 10)
 			assert.Equal(t, pool.picks, picks, "picked for a request that no longer waits")
 		})
 	}
@@ -199,73 +201,73 @@
 // endpoint.
 func TestLastAttemptWaitsForAReport(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch.Add(-time.Second)}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	a := admit(minted, one, two)
 	a.Bundle.Policy.MaxAttempts = 3
-	p.run(send(a), done(1), lost(2), notReached(3))
-	assert.Equal(t, len(p.calls), 3)
-	assert.Equal(t, p.core.Waiting(), 1)
-	p.endpointsBack(pool, 1)
-	p.run(done(4))
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeAnswered)
+	d.run(send(a), done(1), lost(2), notReached(3))
+	assert.Equal(t, len(d.calls), 3)
+	assert.Equal(t, d.core.Waiting(), 1)
+	d.endpointsBack(pool, 1)
+	d.run(done(4))
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeAnswered)
 }
 
 // Guards against cutting a request short, with time left, because its attempts
 // were used up by calls that reached no endpoint.
 func TestAttemptThatReachedNothingIsNotSpent(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch.Add(-time.Second)}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	a := admit(minted, one, two)
 	a.Bundle.Policy.MaxAttempts = 3
-	p.run(send(a), done(1), notReached(2), lost(3))
-	p.endpointsBack(pool, 1)
-	p.run(notReached(4))
-	assert.Equal(t, len(all[Reply](p)), 0)
-	p.endpointsBack(pool, 1)
-	p.run(done(5))
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeAnswered)
+	d.run(send(a), done(1), notReached(2), lost(3))
+	d.endpointsBack(pool, 1)
+	d.run(notReached(4))
+	assert.Equal(t, len(all[Reply](d)), 0)
+	d.endpointsBack(pool, 1)
+	d.run(done(5))
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeAnswered)
 }
 
 // Guards against more load on a failing pool than its policy allows: attempts
 // that may have run still count.
 func TestAttemptsThatMayHaveRunCount(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch.Add(-time.Second)}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	a := admit(minted, one, two)
 	a.Bundle.Policy.MaxAttempts = 3
-	p.run(send(a), done(1), lost(2), lost(3))
-	p.endpointsBack(pool, 1)
-	p.run(notReached(4))
-	p.endpointsBack(pool, 1)
-	p.run(lost(5))
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeCutShort)
-	assert.Equal(t, len(p.calls), 5)
+	d.run(send(a), done(1), lost(2), lost(3))
+	d.endpointsBack(pool, 1)
+	d.run(notReached(4))
+	d.endpointsBack(pool, 1)
+	d.run(lost(5))
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeCutShort)
+	assert.Equal(t, len(d.calls), 5)
 }
 
 // Guards against a request that dials a flapping pool until its deadline.
 func TestAttemptsThatReachNothingAreBounded(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch.Add(-time.Second)}
-	p := newWaiting(pool, 0)
-	p.run(send(admit(minted, one, two)), done(1))
-	for call := 2; len(all[Reply](p)) == 0; call++ {
-		p.run(notReached(call))
-		p.endpointsBack(pool, 1)
+	d := newWaitingDriver(pool, 0)
+	d.run(send(admit(minted, one, two)), done(1))
+	for call := 2; len(all[Reply](d)) == 0; call++ {
+		d.run(notReached(call))
+		d.endpointsBack(pool, 1)
 	}
-	assert.Equal(t, all[Reply](p)[0].Outcome(), api.OutcomeCutShort)
-	assert.Equal(t, len(p.calls), 1+maxNotReached)
+	assert.Equal(t, all[Reply](d)[0].Outcome(), api.OutcomeCutShort)
+	assert.Equal(t, len(d.calls), 1+maxNotReached)
 }
 
 // Guards against a last attempt that waits forever in a healthy pool whose
 // endpoints have nothing new to report.
 func TestLastAttemptStopsWaitingForAReport(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch.Add(-time.Second)}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	a := admit(minted, one, two)
 	a.Bundle.Policy.MaxAttempts = 3
 	a.Deadline = epoch.Add(4 * time.Second)
-	p.run(send(a), done(1), lost(2), lost(3), timer(TimerWait))
-	assert.Equal(t, len(p.calls), 4)
-	assert.Assert(t, p.now.Sub(epoch) < reportWait+100*ms)
+	d.run(send(a), done(1), lost(2), lost(3), timer(TimerWait))
+	assert.Equal(t, len(d.calls), 4)
+	assert.Assert(t, d.now.Sub(epoch) < reportWait+100*ms)
 }
 
 // TestWaitSetAgainstList compares the wait set with a plain list.
@@ -329,30 +331,30 @@
 // the available endpoint.
 func TestWaitingRequestDoesNotBlockOthers(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	for i, left := range []time.Duration{500 * ms, 900 * ms} {
 		a := admit(minted, one, two)
 		a.RequestID, a.Ref, a.Deadline = fmt.Sprint("r", i), uint64(i+1), epoch.Add(left)
-		p.run(send(a))
+		d.run(send(a))
 	}
 	pool.unavailable = true
-	p.run(done(1), done(2))
-	assert.Equal(t, p.core.Waiting(), 2)
+	d.run(done(1), done(2))
+	assert.Equal(t, d.core.Waiting(), 2)
 	pool.unservable = "r0"
-	p.endpointsBack(pool, 1)
-	assert.Equal(t, p.calls[len(p.calls)-1].ID.Request, "r1")
-	assert.Equal(t, p.core.Waiting(), 1)
+	d.endpointsBack(pool, 1)
+	assert.Equal(t, d.calls[len(d.calls)-1].ID.Request, "r1")
+	assert.Equal(t, d.core.Waiting(), 1)
 }
 
 // Guards against holding a request although every endpoint of its pool has
 // answered it with an error, so that no other attempt would do better.
 func TestRequestFailedByAllEndpointsIsNotHeld(t *testing.T) {
 	pool := &poolPicker{reportedAt: epoch}
-	p := newWaiting(pool, 0)
+	d := newWaitingDriver(pool, 0)
 	a := admit(minted, one, two)
 	a.Bundle.Policy.MaxAttempts = 5
 	failed := func(call int) step { return result(call, wire.StatusFailed, "") }
-	p.run(send(a), done(1), failed(2), failed(3), failed(4))
-	assert.Equal(t, all[Reply](p)[0].Problem.Reason, api.ReasonEndpointFailed)
-	assert.Equal(t, p.core.Waiting(), 0)
+	d.run(send(a), done(1), failed(2), failed(3), failed(4))
+	assert.Equal(t, all[Reply](d)[0].Problem.Reason, api.ReasonEndpointFailed)
+	assert.Equal(t, d.core.Waiting(), 0)
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -32,8 +32,9 @@
 	// maximum, including this one.
 	Attempts     int
 	Unrepeatable bool
-	// NotReached is true when the call reached no endpoint because it was down
-	// or unreachable, so that another attempt adds no load to the pool.
+	// NotReached is true when the call reached no endpoint, because the
+	// endpoint was down or unreachable, so that another attempt adds no load to
+	// the pool.
 	NotReached bool
 	// Remaining is the time left before the deadline.
 	Remaining time.Duration
--- a/warm/warm.go
+++ b/warm/warm.go
@@ -113,7 +113,8 @@
 	return 1, time.Duration(float64(rateWindow) / rate)
 }
 
-// Sent records a request; requests to a warm endpoint are not counted.
+// Sent counts a request to a cold endpoint; requests to a warm one are not
+// counted.
 func (p *Pace) Sent(now time.Time, e *catalog.Endpoint) {
 	if !e.Cold(now) || e.ColdRate <= 0 {
 		p.sent = nil
--- a/warm/warm_test.go
+++ b/warm/warm_test.go
@@ -43,9 +43,9 @@
 // member is one process: an owner of the queue, or one that picks endpoints
 // itself.
 type member struct {
-	pace  warm.Pace
-	share float64
-	phase float64
+	limiter warm.Pace
+	share   float64
+	phase   float64
 }
 
 // sendAllAllowed lets all members send as much as they may and returns the
@@ -55,8 +55,8 @@
 	var sent []time.Time
 	for now := epoch; e.Cold(now); now = now.Add(step) {
 		for _, m := range members {
-			if m.pace.Allows(now, e, m.share, m.phase) {
-				m.pace.Sent(now, e)
+			if m.limiter.Allows(now, e, m.share, m.phase) {
+				m.limiter.Sent(now, e)
 				sent = append(sent, now)
 			}
 		}
@@ -66,9 +66,10 @@
 
 // Guards against crash loops of cold endpoints: a failure domain returns cold
 // and with the least load, every gateway sends its requests there, and the
-// endpoints crash again and again. For any number of members, and during a
-// change of owner, the endpoints get no more than one and a half times the rate
-// that their service specifies, and they do get some requests.
+// endpoints crash again and again. Endpoints tolerate about one and a half
+// times the rate that their service specifies. For any number of members, and
+// with two owners at once during a change of owner, the endpoints get no more
+// than the sum of the shares and a small burst, and they do get some requests.
 func TestFleetKeepsToTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 300).Draw(t, "members")
@@ -104,17 +105,17 @@
 // A warm endpoint gets all requests; one that becomes cold again is limited
 // again.
 func TestWarmEndpointIsNotPaced(t *testing.T) {
-	var pace warm.Pace
+	var limiter warm.Pace
 	e := &catalog.Endpoint{ID: "e", ColdRate: rate}
 	for range 1000 {
-		assert.Assert(t, pace.Allows(epoch, e, 0.01, 1))
-		pace.Sent(epoch, e)
+		assert.Assert(t, limiter.Allows(epoch, e, 0.01, 1))
+		limiter.Sent(epoch, e)
 	}
 	e.ColdUntil = epoch.Add(coldFor)
 	for range 2 {
-		pace.Sent(epoch, e)
-		pace.Sent(epoch, e)
-		assert.Assert(t, !pace.Allows(epoch.Add(time.Millisecond), e, 0.2, 0))
+		limiter.Sent(epoch, e)
+		limiter.Sent(epoch, e)
+		assert.Assert(t, !limiter.Allows(epoch.Add(time.Millisecond), e, 0.2, 0))
 	}
 }
 
