--- a/pipeline/property_test.go
+++ b/pipeline/property_test.go
@@ -105,31 +105,31 @@
 }
 
 func (sim *simulation) check() {
-	twice, cost := 0, time.Duration(0)
+	inFlightRefusals, cost := 0, time.Duration(0)
 	for _, s := range sim.submissions {
-		sim.checkSending(s)
+		sim.checkSubmission(s)
 		if s.reply.Problem != nil && s.reply.Problem.Detail == "an earlier sending is still running" {
-			twice++
+			inFlightRefusals++
 		}
 	}
-	once := make(map[string]int)
+	runCounts := make(map[string]int)
 	for _, r := range sim.runs {
 		if r.call.Unrepeatable {
-			once[r.call.Identity.Value+r.call.ID.Stage]++
-			assert.Assert(sim, once[r.call.Identity.Value+r.call.ID.Stage] <= 1, "%v ran twice", r.call.ID)
+			runCounts[r.call.Identity.Value+r.call.ID.Stage]++
+			assert.Assert(sim, runCounts[r.call.Identity.Value+r.call.ID.Stage] <= 1, "%v ran twice", r.call.ID)
 		}
 	}
 	for _, c := range sim.costs {
 		cost += c
 	}
 	assert.Equal(sim, sim.useful+sim.wasted, cost, "cost")
-	assert.Equal(sim, sim.finals, len(sim.submissions)-twice, "final records")
+	assert.Equal(sim, sim.finals, len(sim.submissions)-inFlightRefusals, "final records")
 	assert.Equal(sim, sim.core.InFlight(), 0)
 	assert.Equal(sim, sim.core.Waiting(), 0)
 	assert.Equal(sim, sim.suspects.n, 0, "runs of content without an end")
 }
 
-func (sim *simulation) checkSending(s *submission) {
+func (sim *simulation) checkSubmission(s *submission) {
 	assert.Equal(sim, s.replies, 1, "replies to %s", s.RequestID)
 	outcome := s.reply.Outcome()
 	late := s.repliedAt.After(s.Deadline)
