--- a/gateway/ages.go
+++ b/gateway/ages.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// ageShare is the part of the usual deadline that must have passed for a
-	// request to count as one that comes back.
-	ageShare = 0.03
-	// maxRoutes bounds the routes whose usual deadline is kept.
+	// minAgeShare is the part of the usual deadline that must have passed for a
+	// request to count as a client's retry.
+	minAgeShare = 0.03
+	// maxRoutes bounds the routes that ageEstimator and durationEstimator each keep.
 	maxRoutes = 4096
-	// maxDeadlines bounds the different deadlines that are counted on a route.
-	// When it is full all counts are halved and what falls to 0 goes.
+	// maxDeadlines bounds the distinct deadlines counted for a route. When the limit
+	// is reached, all counts are halved and those that become 0 are removed.
 	maxDeadlines = 32
 )
 
-// ages tells requests that come back from new ones. Clients say how long they
-// still wait. Most first tries on a route say the same; a request that comes
-// back says what is left, which is hardly ever the same twice. What it lacks of
-// the most frequent deadline has passed since its first try. The longest
-// deadline would not do: a few clients wait longer than all others, and made
-// every other request look as if it came back.
-type ages struct {
+// ageEstimator estimates how long ago a client first sent a request. Clients send
+// the time that they still wait. On a route, most first attempts carry the same
+// deadline, while a retry carries what is left of it, which is hardly ever the same
+// twice. The difference to the most frequent deadline is the age. The longest
+// deadline would be the wrong reference: when a few clients wait longer than all
+// others, every other request would look like a retry.
+type ageEstimator struct {
 	mu     sync.Mutex
-	routes map[string]*deadlines
+	routes map[string]*deadlineCounts
 }
 
-// deadlines counts the deadlines that were seen on one route.
-type deadlines struct {
-	counts map[time.Duration]int
-	usual  time.Duration
+// deadlineCounts counts the deadlines seen on one route.
+type deadlineCounts struct {
+	counts       map[time.Duration]int
+	mostFrequent time.Duration
 }
 
-func newAges() *ages { return &ages{routes: make(map[string]*deadlines)} }
+func newAgeEstimator() *ageEstimator { return &ageEstimator{routes: make(map[string]*deadlineCounts)} }
 
-// of returns the time since the client's first try; 0 for a first try.
-func (a *ages) of(route string, deadline time.Duration) time.Duration {
+// estimate counts the deadline and returns the time since the client's first
+// attempt, or 0 for a first attempt or a request without a deadline.
+func (a *ageEstimator) estimate(route string, deadline time.Duration) time.Duration {
 	if deadline <= 0 {
 		return 0
 	}
@@ -47,28 +48,30 @@
 		if len(a.routes) >= maxRoutes {
 			clear(a.routes)
 		}
-		d = &deadlines{counts: make(map[time.Duration]int)}
+		d = &deadlineCounts{counts: make(map[time.Duration]int)}
 		a.routes[route] = d
 	}
 	d.count(deadline)
-	age := d.usual - deadline
-	if float64(age) < ageShare*float64(d.usual) {
+	age := d.mostFrequent - deadline
+	if float64(age) < minAgeShare*float64(d.mostFrequent) {
 		return 0
 	}
 	return age
 }
 
-func (d *deadlines) count(deadline time.Duration) {
+// count adds a deadline and updates mostFrequent.
+func (d *deadlineCounts) count(deadline time.Duration) {
 	if len(d.counts) >= maxDeadlines && d.counts[deadline] == 0 {
 		d.halve()
 	}
 	d.counts[deadline]++
-	if d.counts[deadline] >= d.counts[d.usual] {
-		d.usual = deadline
+	if d.counts[deadline] >= d.counts[d.mostFrequent] {
+		d.mostFrequent = deadline
 	}
 }
 
-func (d *deadlines) halve() {
+// halve halves all counts and removes those that become 0.
+func (d *deadlineCounts) halve() {
 	for deadline, n := range d.counts {
 		if n /= 2; n == 0 {
 			delete(d.counts, deadline)
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -10,58 +10,65 @@
 )
 
 const (
-	// maxCrashes is how many endpoints one content may crash until it is
-	// refused. Fewer would refuse requests that were only beside the cause.
-	maxCrashes = 3
-	// crashGap is the least time between two crashes that count: endpoints that
-	// crash together have another cause than a request that is sent again.
-	crashGap = 300 * time.Millisecond
-	// crashSpan is how long after a broken connection its endpoint has to be
-	// gone for a crash: three heartbeats of the endpoint and a margin.
-	crashSpan = 6 * time.Second
-	// convictedFor is how long content is refused, counted from its last crash.
-	convictedFor = time.Minute
-	// maxContents bounds the contents and the broken sends that are remembered.
+	// crashLimit is the number of crashes after which content is refused. A lower
+	// limit would refuse requests that merely ran beside the cause of a crash.
+	crashLimit = 3
+	// minCrashGap is the minimum time between two crashes that count separately:
+	// endpoints that crash together have a common cause, not a request that is retried.
+	minCrashGap = 300 * time.Millisecond
+	// crashDetectionWindow is how long after a broken connection the endpoint's
+	// disappearance counts as a crash: three heartbeats of the endpoint and a margin.
+	crashDetectionWindow = 6 * time.Second
+	// refusalDuration is how long content is refused after its last crash.
+	refusalDuration = time.Minute
+	// maxContents bounds both the contents and the broken sends that are remembered.
 	maxContents = 1024
 )
 
 // Crash says that an endpoint crashed while it ran a request with the content.
 type Crash struct {
+	// Content is the hash of the request's content.
 	Content uint64 `json:"content"`
-	// Endpoint is the Key: each start under one ID can crash once.
+	// Endpoint is the endpoint's Key, which differs for each start under one ID, so
+	// that each start can crash once.
 	Endpoint string `json:"endpoint"`
 }
 
-// crashes counts the endpoints that crashed under a request, by its content:
-// its client sends it again under other IDs and to other gateways.
+// crashTracker counts the endpoints that crashed under requests with the same
+// content. It identifies a request by its content because the client retries it
+// under other IDs and at other gateways.
 //
-// The failure that it guards against: a request crashes each engine that begins
-// to run it, and with the engine all requests beside it; its client and our own
-// retries carry it from engine to engine. A crash is a connection that broke
-// under the request and whose endpoint is gone from the list soon after, or has
-// started again under its ID. Any
-// whole answer clears the content, so content that was only beside the cause
-// is not refused.
-type crashes struct {
+// The failure that it guards against: a request crashes each engine that begins to
+// run it, together with all other requests on that engine, and retries by the client
+// and by the gateway carry it from engine to engine. A crash is a connection that
+// broke under the request and whose endpoint soon afterwards is no longer listed, or
+// is listed as restarted under its ID. Any complete answer clears the content, so
+// that content which merely ran beside the cause is not refused.
+type crashTracker struct {
 	mu sync.Mutex
-	// broken holds the sends whose connection broke, until it is known whether
-	// their endpoint has gone.
-	broken map[Crash]time.Time
-	counts map[uint64]*crashCount
+	// brokenSends maps sends whose connection broke to the time at which it did, until
+	// it is known whether the endpoint has gone.
+	brokenSends map[Crash]time.Time
+	counts      map[uint64]*crashCount
 }
 
+// crashCount counts the crashes of one content.
 type crashCount struct {
+	// endpoints holds the Keys of the endpoints that crashed.
 	endpoints map[string]bool
-	crashes   int
-	last      time.Time
+	// crashes counts those at least minCrashGap after the crash before.
+	crashes int
+	// last is the time of the latest crash.
+	last time.Time
 }
 
-func newCrashes() *crashes {
-	return &crashes{broken: make(map[Crash]time.Time), counts: make(map[uint64]*crashCount)}
+func newCrashTracker() *crashTracker {
+	return &crashTracker{brokenSends: make(map[Crash]time.Time), counts: make(map[uint64]*crashCount)}
 }
 
-// contentOf is what stays the same when a client sends a request again.
-func contentOf(req *request) uint64 {
+// hashContent hashes the parts of a request that stay the same when a client
+// retries it.
+func hashContent(req *request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{req.http.Method, req.http.Host, req.http.RequestURI, req.accountName()} {
 		// A digest takes all bytes and has no errors.
@@ -72,49 +79,51 @@
 	return h.Sum64()
 }
 
-// broke notes that a connection broke under a request.
-func (c *crashes) broke(now time.Time, content uint64, e *catalog.Endpoint) {
+// addBroken records that a connection broke under a request. It ignores endpoints
+// that are leaving, which end without a crash.
+func (c *crashTracker) addBroken(now time.Time, content uint64, e *catalog.Endpoint) {
 	if e.Leaving {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.broken) >= maxContents {
-		c.forgetBrokenLocked(now)
+	if len(c.brokenSends) >= maxContents {
+		c.expireBrokenLocked(now)
 	}
-	if len(c.broken) < maxContents {
-		c.broken[Crash{Content: content, Endpoint: e.Key()}] = now
+	if len(c.brokenSends) < maxContents {
+		c.brokenSends[Crash{Content: content, Endpoint: e.Key()}] = now
 	}
 }
 
-// forgetBrokenLocked drops the sends whose endpoints have lived on.
-func (c *crashes) forgetBrokenLocked(now time.Time) {
-	for crash, at := range c.broken {
-		if now.Sub(at) > crashSpan {
-			delete(c.broken, crash)
+// expireBrokenLocked removes broken sends older than crashDetectionWindow, whose
+// endpoints have not crashed.
+func (c *crashTracker) expireBrokenLocked(now time.Time) {
+	for crash, at := range c.brokenSends {
+		if now.Sub(at) > crashDetectionWindow {
+			delete(c.brokenSends, crash)
 		}
 	}
 }
 
-// served clears a content.
-func (c *crashes) served(content uint64) {
+// recordServed clears the crashes of content that was answered completely.
+func (c *crashTracker) recordServed(content uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.counts, content)
 }
 
-// gone looks which endpoints of broken connections are no longer listed, and
-// returns the crashes that this shows.
-func (c *crashes) gone(now time.Time, view *catalog.View) []Crash {
+// detect returns the new crashes: broken sends whose endpoint is no longer listed, or
+// is listed as restarted and therefore under another Key.
+func (c *crashTracker) detect(now time.Time, view *catalog.View) []Crash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forgetBrokenLocked(now)
+	c.expireBrokenLocked(now)
 	var found []Crash
-	for crash := range c.broken {
+	for crash := range c.brokenSends {
 		if view.Endpoint(crash.Endpoint) != nil {
 			continue
 		}
-		delete(c.broken, crash)
+		delete(c.brokenSends, crash)
 		if c.countLocked(now, crash) {
 			found = append(found, crash)
 		}
@@ -122,18 +131,20 @@
 	return found
 }
 
-// heard takes a crash that another gateway saw; it tells whether it is news.
-func (c *crashes) heard(now time.Time, crash Crash) bool {
+// addRemote records a crash that another gateway detected and reports whether it
+// was unknown here.
+func (c *crashTracker) addRemote(now time.Time, crash Crash) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.countLocked(now, crash)
 }
 
-func (c *crashes) countLocked(now time.Time, crash Crash) bool {
+// countLocked counts a crash and reports whether it was unknown.
+func (c *crashTracker) countLocked(now time.Time, crash Crash) bool {
 	n := c.counts[crash.Content]
-	if n == nil || now.Sub(n.last) > convictedFor {
+	if n == nil || now.Sub(n.last) > refusalDuration {
 		if len(c.counts) >= maxContents {
-			c.forgetLocked(now)
+			c.evictLocked(now)
 		}
 		n = &crashCount{endpoints: make(map[string]bool)}
 		c.counts[crash.Content] = n
@@ -142,17 +153,18 @@
 		return false
 	}
 	n.endpoints[crash.Endpoint] = true
-	if n.crashes == 0 || now.Sub(n.last) >= crashGap {
+	if n.crashes == 0 || now.Sub(n.last) >= minCrashGap {
 		n.crashes++
 	}
 	n.last = now
 	return true
 }
 
-// forgetLocked makes room: what is old goes, or everything.
-func (c *crashes) forgetLocked(now time.Time) {
+// evictLocked removes contents that are no longer refused, or all of them if that
+// does not make room.
+func (c *crashTracker) evictLocked(now time.Time) {
 	for content, n := range c.counts {
-		if now.Sub(n.last) > convictedFor {
+		if now.Sub(n.last) > refusalDuration {
 			delete(c.counts, content)
 		}
 	}
@@ -161,14 +173,14 @@
 	}
 }
 
-// refused tells whether the content is refused, and for how long.
-func (c *crashes) refused(now time.Time, content uint64) (time.Duration, bool) {
+// refused reports whether the content is refused, and for how much longer.
+func (c *crashTracker) refused(now time.Time, content uint64) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.counts[content]
-	if n == nil || n.crashes < maxCrashes {
+	if n == nil || n.crashes < crashLimit {
 		return 0, false
 	}
-	left := convictedFor - now.Sub(n.last)
+	left := refusalDuration - now.Sub(n.last)
 	return left, left > 0
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,6 +1,7 @@
-// Package gateway serves clients on the users' platform: it finds a request's
-// route and account, has its stages run, sends it to an endpoint and relays
-// the answer byte for byte.
+// Package gateway serves client requests behind the platform's load balancer.
+// For each request it finds the route and the client account, has the route's
+// stages run, forwards the request to an endpoint and relays the answer byte for
+// byte.
 package gateway
 
 import "github.com/joomcode/errorx"
@@ -10,8 +11,9 @@
 var (
 	// errNotSent means that no byte of the request can have reached an endpoint.
 	errNotSent = errs.NewType("not_sent")
-	// errUnknown means that the request was sent and no usable answer came.
+	// errUnknown means that the request was sent and no usable answer came back, so
+	// that it may have run.
 	errUnknown = errs.NewType("fate_unknown")
-	// errBroken means that an answer ended early.
+	// errBroken means that an answer ended before it was complete.
 	errBroken = errs.NewType("answer_broken")
 )
--- a/gateway/events_test.go
+++ b/gateway/events_test.go
@@ -11,7 +11,7 @@
 
 var errCut = errors.New("cut")
 
-// cutReader hands out data in pieces of a size and ends with err.
+// cutReader returns data in reads of at most size bytes and then err.
 type cutReader struct {
 	data []byte
 	size int
@@ -27,9 +27,9 @@
 	return n, nil
 }
 
-// readEvents returns what a client would get.
+// readEvents returns the bytes that a client would get.
 func readEvents(data []byte, size int, end error) ([]byte, error) {
-	stream := newEvents(&cutReader{data: data, size: size, err: end})
+	stream := newEventReader(&cutReader{data: data, size: size, err: end})
 	var out []byte
 	for {
 		part, err := stream.next()
@@ -42,9 +42,9 @@
 	}
 }
 
-// An engine's events come in pieces of any size, or its connection breaks in
-// the middle of one. A stream that ends is passed on byte for byte; of one that
-// breaks, whole events and nothing of the one that was cut.
+// An engine's events arrive in reads of any size, or its connection breaks in the
+// middle of one. A stream that ends is relayed byte for byte; of one that breaks, the
+// client gets the complete events and nothing of the incomplete one.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), 3)
 	f.Add([]byte("id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata"), 1)
@@ -58,8 +58,8 @@
 		cut, err := readEvents(data, size, errCut)
 		assert.Assert(t, errors.Is(err, errCut))
 		assert.Assert(t, bytes.HasPrefix(data, cut))
-		// Blank lines alone are no event; how many of them pass depends on the pieces.
-		complete := data[:boundary(data)]
-		assert.Assert(t, bytes.Equal(bytes.TrimRight(cut, "\r\n"), bytes.TrimRight(complete, "\r\n")), "all complete events and no more")
+		// Blank lines alone are no event; how many of them are relayed depends on the reads.
+		complete := data[:completeLen(data)]
+		assert.Assert(t, bytes.Equal(bytes.TrimRight(cut, "\r\n"), bytes.TrimRight(complete, "\r\n")), "all complete events and nothing else")
 	})
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	// slackShare is the part of the fleet's slack for repeated sends that is
-	// used; the rest is for members that are not seen.
-	slackShare = 0.7
-	// ratioShare is the same for the ratio.
-	ratioShare = 0.8
-	// notReadyRetry is when a client may come back to a process that does not
-	// know the configuration yet.
-	notReadyRetry = 500 * time.Millisecond
+	// retrySlackShare is the part of the fleet's retry slack that the visible gateways
+	// share; the rest is left for gateways that this process does not see.
+	retrySlackShare = 0.7
+	// retryRatioShare is the part of the configured ratio of retries to first sends
+	// that is used, for the same reason.
+	retryRatioShare = 0.8
+	// notReadyRetryAfter is the Retry-After of a process that has no configuration yet.
+	notReadyRetryAfter = 500 * time.Millisecond
 )
 
-// Config is what a Gateway is made of.
+// Config holds the settings and dependencies of a Gateway.
 type Config struct {
 	Domain string
 	Bounds platform.Bounds
-	// View returns the present view of the deployment.
+	// View returns the current view of the deployment.
 	View func() *catalog.View
-	// Current returns the view that has what changed during a pause of the
-	// process, and may take a moment for that; nil means View.
+	// Current returns a view that includes the changes made while this process was
+	// paused, and may block briefly to fetch them. It defaults to View.
 	Current func() *catalog.View
 	// FleetSize returns the number of live gateways, this one included.
 	FleetSize func() int
@@ -43,69 +43,72 @@
 	Transport *Transport
 	Log       zerolog.Logger
 	Metrics   *Metrics
-	// OthersStay tells whether another gateway is live and not leaving.
+	// OthersStay reports whether another gateway is live and not shutting down.
 	OthersStay func() bool
-	// TellCrashes passes on crashes that this process saw; nil if there is
-	// nobody to tell.
+	// TellCrashes sends the crashes that this process detected to the other gateways; nil
+	// if crashes are not shared.
 	TellCrashes func([]Crash)
 }
 
-// Gateway is the handler of client requests.
+// Gateway is the HTTP handler of client requests.
 type Gateway struct {
-	cfg     Config
-	balance *balance.Balancer
-	repeats *retry.Window
-	ages    *ages
-	crashes *crashes
-	paces   *paces
-	planned *planned
-	// fleet remembers how many members there are, for the parts of what cold
-	// endpoints bear; fleetMu guards it.
+	cfg               Config
+	balance           *balance.Balancer
+	retryBudget       *retry.Window
+	ageEstimator      *ageEstimator
+	crashTracker      *crashTracker
+	durationEstimator *durationEstimator
+	shutdown          *shutdown
+	// fleet tracks the number of gateways, from which this process's share of the load
+	// on cold endpoints follows; fleetMu guards it.
 	fleetMu sync.Mutex
 	fleet   warm.Fleet
-	// inFlight is the number of requests that have no whole answer yet.
+	// inFlight is the number of requests that have not been answered completely.
 	inFlight atomic.Int64
 }
 
-// New returns a Gateway.
+// New returns a Gateway with the configuration.
 func New(cfg Config) *Gateway {
 	if cfg.Current == nil {
 		cfg.Current = cfg.View
 	}
 	return &Gateway{
-		cfg:     cfg,
-		balance: balance.New(cfg.Domain),
-		ages:    newAges(),
-		crashes: newCrashes(),
-		paces:   newPaces(),
-		planned: newPlanned(),
-		repeats: retry.NewWindow(cfg.Bounds.RetryWindow, cfg.Bounds.RetryRatio*ratioShare),
+		cfg:               cfg,
+		balance:           balance.New(cfg.Domain),
+		ageEstimator:      newAgeEstimator(),
+		crashTracker:      newCrashTracker(),
+		durationEstimator: newDurationEstimator(),
+		shutdown:          newShutdown(),
+		retryBudget:       retry.NewWindow(cfg.Bounds.RetryWindow, cfg.Bounds.RetryRatio*retryRatioShare),
 	}
 }
 
-// SetView passes on a new view.
+// SetView passes a new view to the balancer and the transport, and detects
+// endpoints that crashed.
 func (g *Gateway) SetView(view *catalog.View) {
 	g.balance.Forget(view)
 	g.cfg.Transport.SetView(view)
-	g.findCrashes(view)
+	g.detectCrashes(view)
 }
 
-// findCrashes looks for endpoints that have ended under requests.
-func (g *Gateway) findCrashes(view *catalog.View) {
-	found := g.crashes.gone(time.Now(), view)
+// detectCrashes reports endpoints that went away after a connection broke under a
+// request.
+func (g *Gateway) detectCrashes(view *catalog.View) {
+	found := g.crashTracker.detect(time.Now(), view)
 	for _, c := range found {
 		g.cfg.Log.Warn().Str("event", logCrashed).Uint64("content", c.Content).Str("endpoint", c.Endpoint).
-			Msg("an endpoint crashed under a request with this content")
+			Msg("endpoint crashed while running a request with this content")
 	}
 	if len(found) > 0 && g.cfg.TellCrashes != nil {
 		g.cfg.TellCrashes(found)
 	}
 }
 
-// HeardCrash takes a crash that another gateway saw; it tells whether it is news.
-func (g *Gateway) HeardCrash(c Crash) bool { return g.crashes.heard(time.Now(), c) }
+// HeardCrash records a crash that another gateway detected and reports whether it
+// was unknown here.
+func (g *Gateway) HeardCrash(c Crash) bool { return g.crashTracker.addRemote(time.Now(), c) }
 
-// Endpoints tells what the process believes of the endpoints of plain services.
+// Endpoints returns the balancer's statistics of the endpoints that it sends to.
 func (g *Gateway) Endpoints() []balance.Stats { return g.balance.Stats(time.Now()) }
 
 // ServeHTTP serves one request of a client.
@@ -114,18 +117,18 @@
 	defer g.inFlight.Add(-1)
 	earlier := keepalive.Earlier(r.Context())
 	req, p := g.admit(r)
-	if g.planned.stopping() {
+	if g.shutdown.stopping() {
 		w.Header().Set("Connection", "close")
 	}
 	if p == nil {
 		defer req.cancel()
-		p = g.takeWhileStopping(req, earlier)
+		p = g.admitDuringShutdown(req, earlier)
 	}
 	if p == nil {
 		p = g.readBody(w, req)
 	}
 	if p == nil {
-		p = g.screen(req)
+		p = g.refuseCrashingContent(req)
 	}
 	if p == nil {
 		p = g.serve(w, req)
@@ -135,17 +138,18 @@
 	}
 }
 
-// screen refuses content that has crashed endpoint after endpoint.
-func (g *Gateway) screen(req *request) *problem {
-	req.content = contentOf(req)
-	if left, refused := g.crashes.refused(time.Now(), req.content); refused {
+// refuseCrashingContent refuses a request whose content has crashed crashLimit
+// endpoints.
+func (g *Gateway) refuseCrashingContent(req *request) *problem {
+	req.contentHash = hashContent(req)
+	if left, refused := g.crashTracker.refused(time.Now(), req.contentHash); refused {
 		return unavailable("crashes_endpoints", left)
 	}
 	return nil
 }
 
-// serve sends the request and relays the answer; it returns a problem if it
-// has answered nothing.
+// serve forwards the request and relays the answer. It returns a problem if nothing
+// has been written to the client.
 func (g *Gateway) serve(w http.ResponseWriter, req *request) *problem {
 	if req.service != nil && req.service.Model != nil {
 		return g.serveModel(w, req)
@@ -153,7 +157,8 @@
 	return g.servePlain(w, req)
 }
 
-// slack is this process's share of the fleet's slack for repeated sends.
-func (g *Gateway) slack() float64 {
-	return float64(g.cfg.Bounds.RetrySlack) * slackShare / float64(max(1, g.cfg.FleetSize()))
+// retrySlack is this process's share of the fleet's slack: the retries that are
+// allowed beside those proportional to first sends.
+func (g *Gateway) retrySlack() float64 {
+	return float64(g.cfg.Bounds.RetrySlack) * retrySlackShare / float64(max(1, g.cfg.FleetSize()))
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -23,18 +23,22 @@
 	"github.com/mangostage/mangostage/scheduler"
 )
 
-// patience bounds each wait of these tests.
-const patience = 10 * time.Second
-
-// alone is a fleet of one process.
-type alone struct{ settled chan struct{} }
-
-func (a alone) OwnerConn() *peer.Conn           { return nil }
-func (a alone) Owns() bool                      { return true }
-func (a alone) Lost(*peer.Conn) <-chan struct{} { return nil }
-func (a alone) Settled() <-chan struct{}        { return a.settled }
-func newAlone() alone                           { a := alone{make(chan struct{})}; close(a.settled); return a }
-func addrOf(s *httptest.Server) string          { return strings.TrimPrefix(s.URL, "http://") }
+// waitTimeout bounds each wait of these tests.
+const waitTimeout = 10 * time.Second
+
+// singleProcess is the scheduler.Owners of a fleet of one process.
+type singleProcess struct{ settled chan struct{} }
+
+func (a singleProcess) OwnerConn() *peer.Conn           { return nil }
+func (a singleProcess) Owns() bool                      { return true }
+func (a singleProcess) Lost(*peer.Conn) <-chan struct{} { return nil }
+func (a singleProcess) Settled() <-chan struct{}        { return a.settled }
+func newSingleProcess() singleProcess {
+	a := singleProcess{make(chan struct{})}
+	close(a.settled)
+	return a
+}
+func addrOf(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 func serve(t testing.TB, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -42,7 +46,7 @@
 	return addrOf(s)
 }
 
-// rig is a gateway with its endpoints.
+// rig is a gateway under test with its scheduler and endpoints.
 type rig struct {
 	t         testing.TB
 	gateway   *gateway.Gateway
@@ -98,7 +102,7 @@
 		},
 		FleetSize:  func() int { return 1 },
 		OthersStay: func() bool { return false },
-		Scheduler:  scheduler.NewClient(r.scheduler, newAlone(), log),
+		Scheduler:  scheduler.NewClient(r.scheduler, newSingleProcess(), log),
 		Transport:  transport,
 		Log:        log,
 		Metrics:    gateway.NewMetrics(),
@@ -133,7 +137,7 @@
 	r.gateway.SetView(view)
 }
 
-// remove takes an endpoint off the list.
+// remove removes an endpoint from the view.
 func (r *rig) remove(id string) {
 	r.mu.Lock()
 	r.endpoints = slices.DeleteFunc(r.endpoints, func(e *catalog.Endpoint) bool { return e.ID == id })
@@ -144,10 +148,10 @@
 	r.gateway.SetView(view)
 }
 
-// restart lists the endpoint as a new process, under the ID and at the address
-// that it had. The view of requests changes first; told says whether the queue
-// and the gateway's books hear of it too.
-func (r *rig) restart(id string, told bool) {
+// restart lists the endpoint as a new process under the same ID and address. Requests
+// use the new view at once; published says whether the scheduler and the gateway
+// receive it too.
+func (r *rig) restart(id string, published bool) {
 	r.mu.Lock()
 	for i, e := range r.endpoints {
 		if e.ID == id {
@@ -158,17 +162,16 @@
 	}
 	r.view = catalog.NewView(catalog.NewIndex(&r.config), r.endpoints, r.view.Revision+1)
 	r.mu.Unlock()
-	if told {
-		r.tell()
+	if published {
+		r.publishView()
 	}
 }
 
-// restartSkew, in milliseconds, keeps what the tests did just before a restart
-// clearly before it.
+// restartSkew, in milliseconds, keeps events just before a restart clearly before it.
 const restartSkew = 200
 
-// tell passes the view on.
-func (r *rig) tell() {
+// publishView passes the current view to the scheduler and the gateway.
+func (r *rig) publishView() {
 	r.mu.Lock()
 	view := r.view
 	r.mu.Unlock()
@@ -176,19 +179,20 @@
 	r.gateway.SetView(view)
 }
 
-// endpoint starts and lists a stand-in.
-func (r *rig) endpoint(service, id string, answer func(http.ResponseWriter, standin.Run)) *standin.Endpoint {
+// startEndpoint starts and lists a stand-in endpoint.
+func (r *rig) startEndpoint(service, id string, answer func(http.ResponseWriter, standin.Run)) *standin.Endpoint {
 	e := &standin.Endpoint{ID: id, Answer: answer}
 	r.add(service, id, serve(r.t, e))
 	return e
 }
 
+// requests numbers the requests of all tests.
 var requests struct {
 	sync.Mutex
 	n int
 }
 
-// request is a client's request to a route with a fresh ID and a known key.
+// request returns a client request with a new ID and a valid key.
 func (r *rig) request(method, path, body string) *http.Request {
 	r.t.Helper()
 	requests.Lock()
@@ -208,23 +212,24 @@
 	return req
 }
 
-// answered is what a client got; err is set if the answer is not whole.
-type answered struct {
+// clientResult is what a client received; err is set if the answer is incomplete.
+type clientResult struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (r *rig) do(req *http.Request) answered {
+// do sends a request as a client and reads its answer.
+func (r *rig) do(req *http.Request) clientResult {
 	r.t.Helper()
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: waitTimeout}
 	defer client.CloseIdleConnections()
 	resp, err := client.Do(req)
 	if err != nil {
-		return answered{err: err}
+		return clientResult{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	return answered{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	return clientResult{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -15,17 +15,17 @@
 	"github.com/mangostage/mangostage/platform/standin"
 )
 
-// promptly is much less than the clients' deadline of 4 s, after which a
-// request to a silent endpoint is given up in any case.
-const promptly = 2500 * time.Millisecond
+// promptLimit is much less than the clients' deadline of 4 s, at which a request to a
+// silent endpoint is given up in any case.
+const promptLimit = 2500 * time.Millisecond
 
-// stalls adds an engine whose first n runs begin a stream and then fall
-// silent until the test ends; the later ones go on from the last event.
-func (r *rig) stalls(n int) *standin.Endpoint {
+// addStallingEngine adds an engine whose first n runs begin a stream and then stall
+// until the test ends; later runs resume after the last event.
+func (r *rig) addStallingEngine(n int) *standin.Endpoint {
 	ended := make(chan struct{})
 	var mu sync.Mutex
 	runs := 0
-	e := r.endpoint("model", "m-1", func(w http.ResponseWriter, run standin.Run) {
+	e := r.startEndpoint("model", "m-1", func(w http.ResponseWriter, run standin.Run) {
 		mu.Lock()
 		runs++
 		stall := runs <= n
@@ -42,50 +42,50 @@
 		}
 		standin.Events(w, last+1, 6)
 	})
-	// Servers wait for their handlers when they close, which happens after this.
+	// Runs before the cleanup that closes the server, which waits for its handlers.
 	r.t.Cleanup(func() { close(ended) })
 	return e
 }
 
-// A note that is being written stops in the middle until the client gives up:
-// its engine crashed behind a partition, so that no end of the connection was
-// seen, and was back under its ID. The stream must go on at the new process.
-func TestStreamOfEndedProcessGoesOn(t *testing.T) {
+// Guards against a stream that stalls until the client gives up: its engine crashed
+// behind a partition, so that the end of the connection was not seen, and restarted
+// under its ID. The stream must resume at the new process.
+func TestStreamResumesAfterEndpointRestart(t *testing.T) {
 	r := newRig(t)
-	e := r.stalls(1)
-	var got answered
+	e := r.addStallingEngine(1)
+	var got clientResult
 	var running sync.WaitGroup
 	running.Go(func() { got = r.do(r.request(http.MethodPost, "/resume/", "prompt")) })
-	testwait.For(t, patience, func() bool { return len(e.Runs()) == 1 })
+	testwait.For(t, waitTimeout, func() bool { return len(e.Runs()) == 1 })
 	r.restart("m-1", true)
 	running.Wait()
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(6))
+	assert.Equal(t, got.body, streamBody(6))
 }
 
-// As above, with an order that must not run twice: its client gets an error that
-// does not promise that it has not run, at once and not when its time is over.
-func TestOrderAtEndedProcess(t *testing.T) {
+// As above, with a request that must not run twice: its client gets an error that does
+// not say that the request has not run, and gets it at once instead of at its deadline.
+func TestOnceRequestAtRestartedEndpoint(t *testing.T) {
 	r := newRig(t)
 	ended := make(chan struct{})
-	e := r.endpoint("plain", "p-1", func(http.ResponseWriter, standin.Run) { <-ended })
+	e := r.startEndpoint("plain", "p-1", func(http.ResponseWriter, standin.Run) { <-ended })
 	t.Cleanup(func() { close(ended) })
-	var got answered
+	var got clientResult
 	var running sync.WaitGroup
 	began := time.Now()
 	running.Go(func() { got = r.do(r.request(http.MethodPost, "/once/", "order")) })
-	testwait.For(t, patience, func() bool { return len(e.Runs()) == 1 })
+	testwait.For(t, waitTimeout, func() bool { return len(e.Runs()) == 1 })
 	r.restart("p-1", true)
 	running.Wait()
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusBadGateway)
-	assert.Assert(t, time.Since(began) < promptly)
+	assert.Assert(t, time.Since(began) < promptLimit)
 	assert.Equal(t, len(e.Runs()), 1)
 }
 
-// Each order to an endpoint that has started again gets no answer: it goes over
-// a kept connection to the process that has ended, and is lost there.
-func TestKeptConnectionToEndedProcess(t *testing.T) {
+// Guards against requests to a restarted endpoint that get no answer because they are
+// sent over a kept connection to the process that has ended.
+func TestKeepAliveConnectionToRestartedEndpoint(t *testing.T) {
 	r := newRig(t)
 	process := &standin.Process{Handler: &standin.Endpoint{ID: "p-1"}}
 	r.add("plain", "p-1", serve(t, process))
@@ -95,11 +95,10 @@
 	assert.Equal(t, r.do(r.request(http.MethodPost, "/once/", "order")).status, http.StatusOK)
 }
 
-// A note is written from another request's pieces: the endpoint that had made
-// the pieces started again between the queue's verdict and the send, numbers its
-// results anew, and the engine fetched what now has the same handle. The pieces
-// must be made again.
-func TestInputsOfEndedProcessAreNotSent(t *testing.T) {
+// Guards against an answer made from another request's inputs: the endpoint that made
+// the inputs restarts between the lease and the send and numbers its results anew, so
+// that the engine fetches what now has the same handle. The stages must run again.
+func TestInputsOfRestartedEndpointAreNotSent(t *testing.T) {
 	r := newRig(t)
 	stage := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
 	var calls atomic.Int32
@@ -109,7 +108,7 @@
 			call = calls.Add(1)
 		}
 		if call == 2 {
-			r.tell()
+			r.publishView()
 		}
 		stage.ServeHTTP(w, req)
 		if call == 1 {
@@ -125,7 +124,7 @@
 	req.Header.Set("Mangostage-Segments", "2")
 	got := r.do(req)
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(2))
+	assert.Equal(t, got.body, streamBody(2))
 	assert.Equal(t, len(e.Runs()), 1)
 	first := []string{"s/s-1-1", "s/s-1-2"}
 	for _, h := range strings.Split(e.Runs()[0].Header.Get("Mangostage-Inputs"), ",") {
@@ -135,19 +134,19 @@
 	}
 }
 
-// A prompt stalls each engine that reads it; a watchdog restarts the engine
-// under its ID. Its client sends it again and again: after three crashes it must
-// reach no engine. The new process is listed before the connection has ended.
-func TestContentThatEndsProcesses(t *testing.T) {
+// A prompt stalls each engine that reads it, and a watchdog restarts the engine under
+// its ID. The client keeps retrying: after three crashes the prompt must reach no
+// engine. The new process is listed before the connection has ended.
+func TestContentThatRestartsEngineIsRefused(t *testing.T) {
 	r := newRig(t)
-	e := r.stalls(100)
+	e := r.addStallingEngine(100)
 	for i := range 3 {
 		var running sync.WaitGroup
 		running.Go(func() { r.do(r.request(http.MethodPost, "/stream/", "prompt")) })
-		testwait.For(t, patience, func() bool { return len(e.Runs()) == i+1 })
+		testwait.For(t, waitTimeout, func() bool { return len(e.Runs()) == i+1 })
 		r.restart("m-1", true)
 		running.Wait()
-		// Crashes that come together count as one.
+		// Crashes less than minCrashGap apart count as one.
 		time.Sleep(350 * time.Millisecond)
 	}
 	got := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
@@ -155,22 +154,22 @@
 	assert.Equal(t, len(e.Runs()), 3)
 }
 
-// A note breaks off at planned work: its engine left the list and finishes what
-// it has, while an endpoint with another ID is listed at the same address. Only
-// a start under the same ID says that the process before has ended.
-func TestStreamGoesOnWhenItsAddressIsReused(t *testing.T) {
+// Guards against a stream that is cut during planned maintenance: its engine left the
+// list and finishes its requests while an endpoint with another ID is listed at the
+// same address. Only a restart under the same ID shows that the old process has ended.
+func TestStreamSurvivesAddressReuse(t *testing.T) {
 	r := newRig(t)
 	finish := make(chan struct{})
-	e := r.endpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
+	e := r.startEndpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		standin.Events(w, 1, 2)
 		<-finish
 		standin.Events(w, 3, 6)
 	})
-	var got answered
+	var got clientResult
 	var running sync.WaitGroup
 	running.Go(func() { got = r.do(r.request(http.MethodPost, "/stream/", "prompt")) })
-	testwait.For(t, patience, func() bool { return len(e.Runs()) == 1 })
+	testwait.For(t, waitTimeout, func() bool { return len(e.Runs()) == 1 })
 	r.mu.Lock()
 	addr := r.endpoints[0].Addr
 	r.mu.Unlock()
@@ -180,20 +179,21 @@
 	close(finish)
 	running.Wait()
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(6))
+	assert.Equal(t, got.body, streamBody(6))
 }
 
-// As with an endpoint that is back within its lease, after its entry had lapsed.
-func TestOrderAtEndedProcessThatLapsed(t *testing.T) {
+// As TestOnceRequestAtRestartedEndpoint, but the endpoint's entry expires before the
+// endpoint is listed again.
+func TestOnceRequestAtRestartedEndpointAfterLeaseExpiry(t *testing.T) {
 	r := newRig(t)
 	ended := make(chan struct{})
-	e := r.endpoint("plain", "p-1", func(http.ResponseWriter, standin.Run) { <-ended })
+	e := r.startEndpoint("plain", "p-1", func(http.ResponseWriter, standin.Run) { <-ended })
 	t.Cleanup(func() { close(ended) })
-	var got answered
+	var got clientResult
 	var running sync.WaitGroup
 	began := time.Now()
 	running.Go(func() { got = r.do(r.request(http.MethodPost, "/once/", "order")) })
-	testwait.For(t, patience, func() bool { return len(e.Runs()) == 1 })
+	testwait.For(t, waitTimeout, func() bool { return len(e.Runs()) == 1 })
 	r.mu.Lock()
 	addr := r.endpoints[0].Addr
 	r.mu.Unlock()
@@ -203,5 +203,5 @@
 	running.Wait()
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusBadGateway)
-	assert.Assert(t, time.Since(began) < promptly)
+	assert.Assert(t, time.Since(began) < promptLimit)
 }
--- a/gateway/lognames.go
+++ b/gateway/lognames.go
@@ -6,6 +6,7 @@
 	logCrashed  = "endpoint_crashed"
 	logGranted  = "granted"
 	logSent     = "sent"
-	// logTakenLate is a request that came after the process had begun to stop.
-	logTakenLate = "taken_while_stopping"
+	// logArrivedDuringShutdown is logged for a request that arrived after the shutdown
+	// had begun.
+	logArrivedDuringShutdown = "taken_while_stopping"
 )
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -18,7 +18,7 @@
 	"github.com/mangostage/mangostage/reqlog"
 )
 
-// logBuffer keeps log lines; it is safe for concurrent use.
+// logBuffer collects log lines; it is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -30,10 +30,10 @@
 	return b.text.Write(p)
 }
 
-// has waits for a line with all of the texts.
-func (b *logBuffer) has(t *testing.T, texts ...string) {
+// waitForLine waits for a line that contains all of the texts.
+func (b *logBuffer) waitForLine(t *testing.T, texts ...string) {
 	t.Helper()
-	testwait.For(t, patience, func() bool {
+	testwait.For(t, waitTimeout, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		for line := range bytes.Lines(b.text.Bytes()) {
@@ -45,8 +45,8 @@
 	})
 }
 
-// story is what the logs say of a request.
-func (r *rig) story(id string) reqlog.Story {
+// requestStory returns what the logs say about a request.
+func (r *rig) requestStory(id string) reqlog.Story {
 	r.logs.mu.Lock()
 	defer r.logs.mu.Unlock()
 	c := reqlog.NewCollector(id)
@@ -54,13 +54,13 @@
 	return c.Story()
 }
 
-// A user complains about a request. From its ID and the logs support must be
-// able to say what became of it, whichever way it went.
+// From a request's ID and the logs, support must be able to say what became of the
+// request, whatever its outcome.
 func TestLogsTellWhatBecameOfARequest(t *testing.T) {
 	r := newRig(t)
 	stage := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
 	r.add("stage", "s-1", serve(t, stage))
-	r.endpoint("model", "m-1", func(w http.ResponseWriter, run standin.Run) {
+	r.startEndpoint("model", "m-1", func(w http.ResponseWriter, run standin.Run) {
 		standin.Seal(w)
 		standin.Events(w, 1, 2)
 		if string(run.Body) == "break" {
@@ -93,9 +93,9 @@
 				id = ask(test.path, test.body)
 			}
 			// The line is written after the last byte of the answer.
-			testwait.For(t, patience, func() bool { return r.story(id).Verdict == test.want })
+			testwait.For(t, waitTimeout, func() bool { return r.requestStory(id).Verdict == test.want })
 			var events []string
-			for _, line := range r.story(id).Lines {
+			for _, line := range r.requestStory(id).Lines {
 				events = append(events, line.Event)
 			}
 			assert.DeepEqual(t, events, test.events)
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestLogsTellWhoEndedARequest guards against lines that blame a deadline for
-// clients that have left: on-call engineers would look for a slow stage.
+// TestLogsTellWhoEndedARequest guards against log lines that blame a deadline for a
+// client that has left: on-call engineers would look for a slow stage.
 func TestLogsTellWhoEndedARequest(t *testing.T) {
 	const shorter, longer, timeout = 200 * time.Millisecond, 4 * time.Second, 400 * time.Millisecond
 	tests := []struct {
@@ -144,7 +144,7 @@
 			defer cancel()
 			r.do(req.WithContext(ctx))
 			id := req.Header.Get("Mangostage-Attempt-Id")
-			r.logs.has(t, `"event":"answered"`, `"request":"`+id+`"`, `"reason":"`+test.want+`"`)
+			r.logs.waitForLine(t, `"event":"answered"`, `"request":"`+id+`"`, `"reason":"`+test.want+`"`)
 		})
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -16,17 +16,19 @@
 	histogramDigits = 2
 )
 
-// Metrics are the counters and histograms of a gateway, in expvar.
+// Metrics holds the counters and histograms of a gateway.
 type Metrics struct {
-	// Answers counts by route and reason, Sends by service and outcome.
+	// Answers counts answers by route and reason, Sends counts sends by service and
+	// outcome.
 	Answers *expvar.Map
 	Sends   *expvar.Map
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// latency holds the histograms by kind and name of the route or service.
 	latency map[string]*hdrhistogram.Histogram
 }
 
-// NewMetrics returns metrics that are not published yet.
+// NewMetrics returns empty metrics; the caller publishes them.
 func NewMetrics() *Metrics {
 	return &Metrics{
 		Answers: new(expvar.Map).Init(),
@@ -35,15 +37,16 @@
 	}
 }
 
-// count counts an answer and its latency.
-func (m *Metrics) count(req *request, reason string) {
+// countAnswer counts an answer and records its latency.
+func (m *Metrics) countAnswer(req *request, reason string) {
 	m.Answers.Add(routeName(req)+" "+reason, 1)
-	m.record("answer "+routeName(req), time.Since(req.arrived))
+	m.recordLatency("answer "+routeName(req), time.Since(req.arrived))
 }
 
-// firstEvent records the time to the first event of a stream.
+// firstEvent records the time from a request's arrival to the first event of its
+// stream.
 func (m *Metrics) firstEvent(req *request) {
-	m.record("first_event "+routeName(req), time.Since(req.arrived))
+	m.recordLatency("first_event "+routeName(req), time.Since(req.arrived))
 }
 
 var outcomeNames = map[balance.Outcome]string{
@@ -54,13 +57,14 @@
 	balance.Abandoned: "abandoned",
 }
 
-// sent counts a send to an endpoint.
-func (m *Metrics) sent(service string, o balance.Outcome, took time.Duration) {
+// countSend counts a send to an endpoint and records its duration.
+func (m *Metrics) countSend(service string, o balance.Outcome, duration time.Duration) {
 	m.Sends.Add(service+" "+outcomeNames[o], 1)
-	m.record("sent "+service, took)
+	m.recordLatency("sent "+service, duration)
 }
 
-func (m *Metrics) record(name string, d time.Duration) {
+// recordLatency adds a duration to the histogram of the name.
+func (m *Metrics) recordLatency(name string, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.latency[name]
@@ -68,11 +72,11 @@
 		h = hdrhistogram.New(1, histogramMax, histogramDigits)
 		m.latency[name] = h
 	}
-	// Values beyond the range count as its end.
+	// Values beyond the range are recorded as its bounds.
 	_ = h.RecordValue(min(histogramMax, max(1, d.Milliseconds())))
 }
 
-// Quantiles are the figures of one histogram, in milliseconds.
+// Quantiles summarizes one histogram, in milliseconds.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -81,7 +85,7 @@
 	Max   int64 `json:"max"`
 }
 
-// Latency returns the figures of all histograms.
+// Latency returns the summaries of all histograms by name.
 func (m *Metrics) Latency() map[string]Quantiles {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -18,74 +18,81 @@
 	"github.com/mangostage/mangostage/warm"
 )
 
-// leastUrgent is the last priority that model engines know; 0 is the first.
-const leastUrgent = 9
+// lowestPriority is the largest priority number that model engines accept; 0 is the
+// most urgent.
+const lowestPriority = 9
 
-// modelRequest is the state of one request for a model engine over its sends.
+// modelRequest is the state of a request for a model engine across its attempts.
 type modelRequest struct {
 	*request
+	// tries counts the sends to engines.
 	tries attempts
+	// lease is the queue owner's latest grant.
 	lease *scheduler.Lease
-	// submits counts the jobs made of the request.
+	// submits counts the jobs submitted to the queue for this request.
 	submits int
-	// head is set once the client has got status and headers; from then on
-	// only events may follow.
-	head bool
-	last string
+	// headSent is true once status and headers have been written to the client. From
+	// then on only events may follow.
+	headSent bool
+	// lastEventID is the ID of the last event that was relayed, or the one from which
+	// the client asked to resume.
+	lastEventID string
 }
 
-// serveModel has the stages of a request run and sends it to a model engine.
+// serveModel has the stages of a request run, sends it to a model engine and relays
+// the stream.
 func (g *Gateway) serveModel(w http.ResponseWriter, req *request) *problem {
-	m := &modelRequest{request: req, tries: attempts{avoid: make(map[string]bool)}, last: req.LastEvent}
+	m := &modelRequest{request: req, tries: attempts{avoid: make(map[string]bool)}, lastEventID: req.LastEvent}
 	for {
 		lease, p := g.lease(m)
 		if p != nil {
-			return g.endModel(m, p)
+			return g.finishModel(m, p)
 		}
 		m.lease = lease
-		again, p := g.serveLease(w, m)
-		if !again {
-			return g.endModel(m, p)
+		resubmit, p := g.serveLease(w, m)
+		if !resubmit {
+			return g.finishModel(m, p)
 		}
 	}
 }
 
-// endModel answers with a problem, or breaks off a stream that has begun.
-func (g *Gateway) endModel(m *modelRequest, p *problem) *problem {
-	if p != nil && m.head {
-		g.broken(m.request, &catalog.Endpoint{}, errBroken.New("stream ended: %s", p.reason))
+// finishModel returns the problem to answer with, or aborts the connection if the
+// stream has already begun.
+func (g *Gateway) finishModel(m *modelRequest, p *problem) *problem {
+	if p != nil && m.headSent {
+		g.abortAnswer(m.request, &catalog.Endpoint{}, errBroken.New("stream ended: %s", p.reason))
 	}
 	return p
 }
 
-// lease has the stages run and an engine chosen.
+// lease submits the request to the queue, which runs its stages and chooses an engine.
 func (g *Gateway) lease(m *modelRequest) (*scheduler.Lease, *problem) {
-	if p := g.refuseUnfit(m.request); p != nil {
+	if p := g.refuseIfCutByShutdown(m.request); p != nil {
 		return nil, p
 	}
 	m.submits++
-	_, need := g.need(m.request)
-	ctx, cancel := g.planned.until(m.ctx, need)
+	_, estimate := g.estimateDuration(m.request)
+	ctx, cancel := g.shutdown.boundContext(m.ctx, estimate)
 	defer cancel()
 	lease, err := g.cfg.Scheduler.Submit(ctx, m.job(g.cfg.Domain))
 	switch {
-	case err != nil && endedByStop(ctx):
-		return nil, ended(m.request, reasonStopping, g.elsewhere(need))
+	case err != nil && cancelledByShutdown(ctx):
+		return nil, giveUp(m.request, reasonStopping, g.shutdownRetryAfter(estimate))
 	case err != nil:
-		return nil, ended(m.request, m.endedBy("queue_unreachable"), busyRetry)
+		return nil, giveUp(m.request, m.endReason("queue_unreachable"), overloadRetryAfter)
 	case lease.Refuse != nil:
-		p := ended(m.request, string(lease.Refuse.Reason), lease.Refuse.RetryAfter)
-		p.queue, p.short, p.behind = lease.Refuse.Queue, lease.Refuse.Short, lease.Refuse.Behind
+		p := giveUp(m.request, string(lease.Refuse.Reason), lease.Refuse.RetryAfter)
+		p.queue, p.shortOf, p.lateness = lease.Refuse.Queue, lease.Refuse.Short, lease.Refuse.Behind
 		return nil, p
 	}
-	m.chosen = time.Now()
+	m.endpointChosenAt = time.Now()
 	g.cfg.Log.Info().Str("event", logGranted).Str("request", m.ID).Str("route", m.route.Name).
 		Str("endpoint", lease.Grant.Endpoint).Dur("waited_ms", lease.Grant.Waited).
-		Str("owner", lease.Owner).Dur("slack_ms", lease.Grant.Slack).Bool("late", lease.Grant.Late).Msg("stages done, engine chosen")
+		Str("owner", lease.Owner).Dur("slack_ms", lease.Grant.Slack).Bool("late", lease.Grant.Late).Msg("stages finished, engine chosen")
 	return lease, nil
 }
 
-// job is what the queue's owner needs to know.
+// job describes the request to the queue owner.
 func (m *modelRequest) job(domain string) dispatch.Job {
 	j := dispatch.Job{
 		Ticket:    m.ID + "#" + strconv.Itoa(m.submits),
@@ -100,7 +107,7 @@
 		TokensOut: m.TokensOut,
 		Priority:  m.priority(),
 		Objective: m.route.Objective - m.age - time.Since(m.arrived),
-		Deadline:  m.left(),
+		Deadline:  m.remaining(),
 		Usual:     m.route.Objective,
 		Again:     m.age > 0,
 	}
@@ -117,54 +124,55 @@
 	return j
 }
 
-// serveLease sends the request with the results of its stages. It tells
-// whether the request may be given to the queue again.
-func (g *Gateway) serveLease(w http.ResponseWriter, m *modelRequest) (again bool, p *problem) {
+// serveLease sends the request with the results of its stages. resubmit is true if
+// the request may be submitted to the queue again.
+func (g *Gateway) serveLease(w http.ResponseWriter, m *modelRequest) (resubmit bool, p *problem) {
 	served := false
 	defer func() { m.lease.Done(served) }()
 	for {
 		if g.inputsLost(m) {
-			// The engine was not asked and is not at fault.
+			// The engine was not called and is not at fault.
 			served = true
-			return m.submits <= maxRejections, ended(m.request, "inputs_lost", busyRetry)
+			return m.submits <= maxRejections, giveUp(m.request, "inputs_lost", overloadRetryAfter)
 		}
-		e, picked := g.engine(m)
+		e, picked := g.chooseEngine(m)
 		if e == nil {
-			return false, g.unserved(m.request)
+			return false, g.unservedProblem(m.request)
 		}
-		g.countSend(m.request, &m.tries)
+		g.countFirstSend(m.request, &m.tries)
 		switch g.tryEngine(w, m, e, picked) {
 		case streamServed:
 			served = true
 			return false, nil
 		case streamInputsGone:
-			// The engine is not at fault and may serve the next try.
+			// The engine is not at fault and may serve the next attempt.
 			delete(m.tries.avoid, e.Key())
-			if g.again(m.request, &m.tries, resultNotRun) {
+			if g.mayRetry(m.request, &m.tries, resultNotRun) {
 				return true, nil
 			}
 		case streamNotRun:
-			if g.again(m.request, &m.tries, resultNotRun) {
+			if g.mayRetry(m.request, &m.tries, resultNotRun) {
 				continue
 			}
 		case streamFailed:
-			if !g.again(m.request, &m.tries, resultFailed) {
+			if !g.mayRetry(m.request, &m.tries, resultFailed) {
 				break
 			}
-			// Once events have come the results are given up: the stages
-			// have to run again before the stream can go on elsewhere.
-			if m.head {
+			// Once events have been relayed, the stage results are freed: the stages have to
+			// run again before another engine can continue the stream.
+			if m.headSent {
 				return true, nil
 			}
 			continue
 		}
-		return false, g.unserved(m.request)
+		return false, g.unservedProblem(m.request)
 	}
 }
 
-// inputsLost tells whether an endpoint that made inputs has started again since
-// the queue's owner looked. They must not be sent: a handle names an address and
-// a number, and the new process may give both to another request's result.
+// inputsLost reports whether an endpoint that produced inputs has restarted since
+// the queue owner granted the lease. Such inputs must not be sent: a handle names
+// an address and a number, and the new process may give both to another request's
+// result.
 func (g *Gateway) inputsLost(m *modelRequest) bool {
 	view := g.cfg.View()
 	for _, s := range m.lease.Grant.Sources {
@@ -175,10 +183,11 @@
 	return false
 }
 
-// engine is the one that the queue's owner chose, if it has not left
-// meanwhile and has not failed this request already; else another one, which
-// the balancer picked and counts until it hears of the end.
-func (g *Gateway) engine(m *modelRequest) (e *catalog.Endpoint, picked bool) {
+// chooseEngine returns the engine that the queue owner chose, unless it has left or
+// has already failed this request. Otherwise the balancer picks one: picked is then
+// true, and the balancer counts the request as in flight until Ended is called. e is
+// nil if no engine is left.
+func (g *Gateway) chooseEngine(m *modelRequest) (e *catalog.Endpoint, picked bool) {
 	view := g.viewFor(m.request)
 	e = view.Endpoint(m.lease.Grant.Endpoint)
 	if e != nil && e.TakesWork() && !m.tries.avoid[e.Key()] {
@@ -188,8 +197,8 @@
 	return e, e != nil
 }
 
-// coldShare is this process's part of the requests that a cold endpoint bears;
-// queued tells whether the queue's owner sends to its service as well.
+// coldShare returns this process's share of the requests that a cold endpoint may
+// be sent. queued says that the queue owner also sends requests to the service.
 func (g *Gateway) coldShare(queued bool) float64 {
 	live := g.cfg.FleetSize()
 	g.fleetMu.Lock()
@@ -197,9 +206,9 @@
 	return warm.PickerShare(g.fleet.Size(time.Now(), live), queued)
 }
 
-// tryEngine makes one send. For an engine that the balancer picked it also
-// ends the balancer's count, also when the client's connection is broken off:
-// counts that never end would keep later requests from that engine for good.
+// tryEngine makes one send. If the balancer picked the engine, it also ends the
+// balancer's in-flight count, even if aborting the client's connection panics: a
+// count that never ends would keep later requests from that engine for good.
 func (g *Gateway) tryEngine(w http.ResponseWriter, m *modelRequest, e *catalog.Endpoint, picked bool) streamResult {
 	outcome := balance.Abandoned
 	sent := time.Now()
@@ -211,33 +220,40 @@
 	case streamNotRun:
 		outcome = balance.Full
 	case streamFailed:
-		outcome = g.silentUnlessLeft(m.request)
+		outcome = g.failureOutcome(m.request)
 	}
 	return result
 }
 
-// streamResult is how one send to a model engine ended.
+// streamResult is the result of one send to a model engine.
 type streamResult int
 
 const (
+	// streamServed means that nothing more is to be sent: the answer was relayed, or the
+	// client did not take it.
 	streamServed streamResult = iota
+	// streamNotRun means that the engine has not run the request.
 	streamNotRun
+	// streamInputsGone means that the engine has not run the request because it could
+	// not fetch the inputs.
 	streamInputsGone
+	// streamFailed means that the engine has, or may have, run the request and gave no
+	// complete answer.
 	streamFailed
 )
 
-// tryModel makes one send and relays the stream.
+// tryModel makes one send and relays the answer.
 func (g *Gateway) tryModel(w http.ResponseWriter, m *modelRequest, e *catalog.Endpoint) streamResult {
 	m.tries.avoid[e.Key()] = true
-	m.offered = true
+	m.sent = true
 	sent := time.Now()
-	priority := min(leastUrgent, max(0, m.priority()))
+	priority := min(lowestPriority, max(0, m.priority()))
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
 	a, err := g.send(ctx, m.request, e, platform.Send{
 		Inputs:    m.lease.Grant.Inputs,
 		Priority:  &priority,
-		LastEvent: m.last,
+		LastEvent: m.lastEventID,
 	})
 	if err != nil {
 		g.logSend(m.request, e, 0, time.Since(sent), err)
@@ -245,7 +261,7 @@
 			return streamNotRun
 		}
 		m.mayHaveRun = true
-		g.noteBroken(m.request, e)
+		g.recordBroken(m.request, e)
 		return streamFailed
 	}
 	defer func() { _ = a.Body.Close() }()
@@ -266,65 +282,66 @@
 	return g.relayStream(w, m, e, a)
 }
 
-// relayFailure passes on an engine's own error, unless another engine may try.
+// relayFailure relays an engine's own error, unless another attempt is possible.
 func (g *Gateway) relayFailure(w http.ResponseWriter, m *modelRequest, a *answer) streamResult {
-	if m.head || m.route.Repeatable() && m.tries.runs+1 < m.route.MaxAttempts {
+	if m.headSent || m.route.Repeatable() && m.tries.runs+1 < m.route.MaxAttempts {
 		return streamFailed
 	}
 	b := &bufferedAnswer{answer: a}
-	var early bool
-	if b.body, b.whole, early = a.buffer(); early || !b.whole {
+	var truncated bool
+	if b.body, b.complete, truncated = a.buffer(); truncated || !b.complete {
 		return streamFailed
 	}
 	b.write(w)
-	m.head = true
-	g.done(m.request, a.StatusCode, "endpoint_error")
+	m.headSent = true
+	g.finish(m.request, a.StatusCode, "endpoint_error")
 	return streamServed
 }
 
-// relayStream passes events on as they come.
+// relayStream relays events as they arrive.
 func (g *Gateway) relayStream(w http.ResponseWriter, m *modelRequest, e *catalog.Endpoint, a *answer) streamResult {
 	flusher := http.NewResponseController(w)
-	stream := newEvents(a.Body)
+	stream := newEventReader(a.Body)
 	first := true
 	for {
 		data, err := stream.next()
 		if first && (len(data) > 0 || err == nil) {
 			first = false
-			m.noteFirst()
+			m.markFirstByte()
 			m.lease.FirstEvent()
 			g.cfg.Metrics.firstEvent(m.request)
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return g.streamBroke(m, e, err)
+			return g.handleBrokenStream(m, e, err)
 		}
-		if !m.head {
-			m.head = true
-			a.head(w)
+		if !m.headSent {
+			m.headSent = true
+			a.writeHead(w)
 		}
 		if len(data) > 0 {
-			if _, werr := w.Write(data); werr != nil {
+			if _, writeErr := w.Write(data); writeErr != nil {
 				return streamServed
 			}
-			if stream.last != "" {
-				m.last = stream.last
+			if stream.lastID != "" {
+				m.lastEventID = stream.lastID
 			}
 		}
 		if err != nil {
-			g.done(m.request, a.StatusCode, "relayed")
+			g.finish(m.request, a.StatusCode, "relayed")
 			return streamServed
 		}
-		if ferr := flusher.Flush(); ferr != nil {
+		if flushErr := flusher.Flush(); flushErr != nil {
 			return streamServed
 		}
 	}
 }
 
-// streamBroke ends a stream that cannot go on elsewhere.
-func (g *Gateway) streamBroke(m *modelRequest, e *catalog.Endpoint, err error) streamResult {
-	g.noteBroken(m.request, e)
-	if m.ctx.Err() != nil || m.head && !m.route.Repeatable() {
-		g.broken(m.request, e, err)
+// handleBrokenStream aborts the client's connection if no other engine can continue
+// the stream; otherwise it returns streamFailed.
+func (g *Gateway) handleBrokenStream(m *modelRequest, e *catalog.Endpoint, err error) streamResult {
+	g.recordBroken(m.request, e)
+	if m.ctx.Err() != nil || m.headSent && !m.route.Repeatable() {
+		g.abortAnswer(m.request, e, err)
 	}
 	return streamFailed
 }
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -16,8 +16,8 @@
 	"github.com/mangostage/mangostage/platform/standin"
 )
 
-// pieces is what a client gets of a stream of n events.
-func pieces(n int) string {
+// streamBody returns the body of a complete stream of n events.
+func streamBody(n int) string {
 	var b strings.Builder
 	for i := 1; i <= n; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -27,19 +27,19 @@
 
 func TestStreamIsRelayed(t *testing.T) {
 	r := newRig(t)
-	r.endpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
+	r.startEndpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		standin.Events(w, 1, 5)
 	})
 	got := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(5))
+	assert.Equal(t, got.body, streamBody(5))
 	assert.Equal(t, got.header.Get("Mangostage-Server-Seal"), "seal")
 }
 
-// An engine crashes in the middle of an event of a fitting note that may go on
-// elsewhere: the client must get each event once and whole.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// An engine crashes in the middle of an event of a resumable stream: the client must
+// get each event once and complete.
+func TestStreamResumesOnAnotherEngine(t *testing.T) {
 	r := newRig(t)
 	var once sync.Once
 	answer := func(w http.ResponseWriter, run standin.Run) {
@@ -58,30 +58,30 @@
 		}
 		standin.Events(w, last+1, 6)
 	}
-	r.endpoint("model", "m-1", answer)
-	r.endpoint("model", "m-2", answer)
+	r.startEndpoint("model", "m-1", answer)
+	r.startEndpoint("model", "m-2", answer)
 	got := r.do(r.request(http.MethodPost, "/resume/", "prompt"))
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(6))
+	assert.Equal(t, got.body, streamBody(6))
 }
 
-// The same on a route whose streams may not go on: the answer must not look
-// complete, and no other engine may run it.
-func TestStreamBreaksOff(t *testing.T) {
+// The same on a route whose streams are not resumable: the answer must not look
+// complete, and no other engine may run the request.
+func TestNonResumableStreamIsAborted(t *testing.T) {
 	r := newRig(t)
 	answer := func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		standin.Events(w, 1, 3)
 		standin.Break()
 	}
-	one, two := r.endpoint("model", "m-1", answer), r.endpoint("model", "m-2", answer)
+	one, two := r.startEndpoint("model", "m-1", answer), r.startEndpoint("model", "m-2", answer)
 	got := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
-	assert.Assert(t, got.err != nil, "body %q looks whole", got.body)
+	assert.Assert(t, got.err != nil, "body %q looks complete", got.body)
 	assert.Equal(t, len(one.Runs())+len(two.Runs()), 1)
 }
 
-// A request with a stage: its pieces are made, the engine gets their results,
-// and they are given up once the engine has begun.
+// A request with a stage: the stage runs its pieces, the engine gets the results, and
+// they are freed once the engine has begun to answer.
 func TestStagesRunFirst(t *testing.T) {
 	r := newRig(t)
 	stage := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
@@ -96,7 +96,7 @@
 	req.Header.Set("Mangostage-Segment-Key", "key")
 	got := r.do(req)
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(2))
+	assert.Equal(t, got.body, streamBody(2))
 	assert.Equal(t, len(stage.Made()), 3)
 	for i, p := range stage.Made() {
 		assert.Equal(t, p.ID, req.Header.Get("Mangostage-Attempt-Id"))
@@ -104,11 +104,11 @@
 		assert.Equal(t, p.Segment, i)
 	}
 	assert.Equal(t, len(strings.Split(e.Runs()[0].Header.Get("Mangostage-Inputs"), ",")), 3)
-	testwait.For(t, patience, func() bool { return stage.Kept() == 0 })
+	testwait.For(t, waitTimeout, func() bool { return stage.Kept() == 0 })
 }
 
-// The results are gone when the engine fetches them (it says so, and that it
-// has not run the request): the stages run once more.
+// The results are gone when the engine fetches them, and the engine says so and that
+// it has not run the request: the stages must run once more.
 func TestInputsGone(t *testing.T) {
 	r := newRig(t)
 	stage := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
@@ -133,16 +133,16 @@
 	req.Header.Set("Mangostage-Segments", "1")
 	got := r.do(req)
 	assert.NilError(t, got.err)
-	assert.Equal(t, got.body, pieces(2))
+	assert.Equal(t, got.body, streamBody(2))
 	assert.Equal(t, len(stage.Made()), 2)
 }
 
-// stopTime is shorter than the deadline of these tests' requests.
-const stopTime = 2 * time.Second
+// shutdownTime is shorter than the deadline of these tests' requests.
+const shutdownTime = 2 * time.Second
 
-// The process stops while a request waits for its stages: it is refused with
-// when to come back, so that what runs can end within the grace.
-func TestStopRefusesWhatWaits(t *testing.T) {
+// The process shuts down while a request waits for its stages: the request is refused
+// with a Retry-After, so that the running ones can end within the grace period.
+func TestShutdownRefusesWaitingRequest(t *testing.T) {
 	r := newRig(t)
 	called := make(chan struct{})
 	r.add("stage", "s-1", serve(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
@@ -151,10 +151,10 @@
 		close(called)
 		<-req.Context().Done()
 	})))
-	r.endpoint("model", "m-1", nil)
+	r.startEndpoint("model", "m-1", nil)
 	go func() {
 		<-called
-		r.gateway.Leave(time.Now().Add(stopTime))
+		r.gateway.Leave(time.Now().Add(shutdownTime))
 	}()
 	began := time.Now()
 	req := r.request(http.MethodPost, "/staged/", "prompt")
@@ -162,16 +162,16 @@
 	got := r.do(req)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
-	// Nothing is known of the route: its stream may need all of its deadline.
-	assert.Assert(t, time.Since(began) < stopTime, "refused as soon as the stream does not fit any more")
+	// The route has no samples: its stream may need all of the request's deadline.
+	assert.Assert(t, time.Since(began) < shutdownTime, "refused as soon as the stream cannot finish in time")
 }
 
-// The engine that the queue's owner chose refuses every request, so each goes
-// to the balancer's choice. Counts of those that have ended must not stay, or
-// the engine that served them looks busier with each and is left for a worse one.
-func TestFallbackIsNotCountedForGood(t *testing.T) {
+// The engine that the queue owner chose refuses every request, so the balancer picks
+// another for each. If the balancer kept counting requests that have ended, the engine
+// that served them would look busier with each and be passed over for a worse one.
+func TestFallbackLeavesNoBalancerCount(t *testing.T) {
 	r := newRig(t)
-	r.endpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
+	r.startEndpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
 		w.Header().Set("Mangostage-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
@@ -179,22 +179,22 @@
 		standin.Seal(w)
 		standin.Events(w, 1, 2)
 	}
-	near, far := r.endpoint("model", "m-2", answer), r.endpoint("model", "m-3", answer)
+	near, far := r.startEndpoint("model", "m-2", answer), r.startEndpoint("model", "m-3", answer)
 	for range 4 {
 		got := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
 		assert.NilError(t, got.err)
-		assert.Equal(t, got.body, pieces(2))
+		assert.Equal(t, got.body, streamBody(2))
 	}
 	assert.Equal(t, len(near.Runs()), 4)
 	assert.Equal(t, len(far.Runs()), 0)
 }
 
-// apart is a little more than the gap between crashes that count.
-const apart = 350 * time.Millisecond
+// crashInterval is a little more than minCrashGap.
+const crashInterval = 350 * time.Millisecond
 
-// A report crashes each engine that begins to run it, and its client sends it
-// again, each time under another ID. The engines' other requests must not pay
-// for that: after three engines the content is refused, with when to come back.
+// A request crashes each engine that begins to run it, and its client retries it under
+// new IDs. The engines' other requests must not suffer: after three engines the content
+// is refused with a Retry-After.
 func TestRequestThatCrashesEngines(t *testing.T) {
 	r := newRig(t)
 	crash := func(w http.ResponseWriter, run standin.Run) {
@@ -206,9 +206,9 @@
 	}
 	engines := make([]*standin.Endpoint, 5)
 	for i := range engines {
-		engines[i] = r.endpoint("model", fmt.Sprintf("m-%d", i), crash)
+		engines[i] = r.startEndpoint("model", fmt.Sprintf("m-%d", i), crash)
 	}
-	var got answered
+	var got clientResult
 	crashed := 0
 	for range len(engines) {
 		got = r.do(r.request(http.MethodPost, "/stream/", "poison"))
@@ -216,17 +216,17 @@
 			if e != nil && len(e.Runs()) > 0 {
 				engines[i] = nil
 				crashed++
-				// The engine's entry goes some time after its connections.
+				// An engine's entry disappears some time after its connections.
 				r.remove(fmt.Sprintf("m-%d", i))
 			}
 		}
-		// Crashes count apart only if some time lies between them.
-		timer := time.NewTimer(apart)
+		// Crashes less than minCrashGap apart count as one.
+		timer := time.NewTimer(crashInterval)
 		<-timer.C
 	}
 	assert.Equal(t, crashed, 3)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	fine := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
-	assert.Equal(t, fine.body, pieces(2))
+	assert.Equal(t, fine.body, streamBody(2))
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -12,86 +12,92 @@
 )
 
 const (
-	// maxRejections bounds the endpoints that may reject one request without
-	// running it; each arrival counts against the budget for repeated sends.
+	// maxRejections bounds the endpoints that may reject one request without running
+	// it. Sends after the first also count against the retry budget.
 	maxRejections = 3
-	// busyRetry is when a client may come back that found all endpoints full.
-	busyRetry = 250 * time.Millisecond
-	// minRetryTime is the least time left with which a request is sent again.
+	// overloadRetryAfter is the Retry-After of a request that no endpoint could take.
+	overloadRetryAfter = 250 * time.Millisecond
+	// minRetryTime is the minimum time before the deadline for a retry.
 	minRetryTime = 30 * time.Millisecond
 )
 
 // attempts counts the sends of one request.
 type attempts struct {
-	runs       int
+	// runs counts the sends that have, or may have, run the request.
+	runs int
+	// rejections counts the sends that have not run the request.
 	rejections int
-	// avoid holds the Keys of endpoints that were tried.
+	// avoid holds the Keys of the endpoints that were tried.
 	avoid map[string]bool
 }
 
-// servePlain sends a request to an endpoint of a plain service.
+// servePlain sends a request to an endpoint of a service without a model and
+// relays the answer, trying other endpoints as far as the request may be retried.
 func (g *Gateway) servePlain(w http.ResponseWriter, req *request) *problem {
-	if p := g.refuseUnfit(req); p != nil {
+	if p := g.refuseIfCutByShutdown(req); p != nil {
 		return p
 	}
 	tries := attempts{avoid: make(map[string]bool)}
-	req.chosen = time.Now()
+	req.endpointChosenAt = time.Now()
 	var failed *bufferedAnswer
 	for {
 		e := g.balance.Pick(time.Now(), g.viewFor(req).Endpoints(req.serviceName), tries.avoid, g.coldShare(false))
 		if e == nil {
-			return g.noEndpoint(w, req, failed)
+			return g.finishUnserved(w, req, failed)
 		}
-		g.countSend(req, &tries)
+		g.countFirstSend(req, &tries)
 		a, result := g.tryPlain(req, e, &tries)
 		if result == resultRelay {
 			return g.relayPlain(w, req, e, a)
 		}
-		if a != nil && a.failure {
+		if a != nil && a.endpointError {
 			failed = a
 		}
-		if !g.again(req, &tries, result) {
-			return g.noEndpoint(w, req, failed)
+		if !g.mayRetry(req, &tries, result) {
+			return g.finishUnserved(w, req, failed)
 		}
 	}
 }
 
-// sendResult is how one send ended.
+// sendResult is the result of one send.
 type sendResult int
 
 const (
-	// resultRelay answers go to the client.
+	// resultRelay means that there is an answer to relay to the client.
 	resultRelay sendResult = iota
-	// resultNotRun sends have not run the request.
+	// resultNotRun means that the endpoint has not run the request.
 	resultNotRun
-	// resultFailed sends have run, or may have run, the request.
+	// resultFailed means that the endpoint has, or may have, run the request, and gave no
+	// usable answer or an error that a retry may avoid.
 	resultFailed
 )
 
-// bufferedAnswer is an answer, read whole if it is short.
+// bufferedAnswer is an answer whose body is buffered if it is short.
 type bufferedAnswer struct {
 	*answer
-	body  []byte
-	whole bool
-	// failure is an error of the endpoint that may be relayed if no other
-	// endpoint does better.
-	failure bool
+	// body is the buffered body, if complete is true.
+	body []byte
+	// complete is true if body holds the whole body; otherwise it is still to be read.
+	complete bool
+	// endpointError is true for a complete error answer of the endpoint, which is
+	// relayed if no other endpoint serves the request.
+	endpointError bool
 }
 
-// tryPlain makes one send.
+// tryPlain makes one send and reports it to the balancer and the log.
 func (g *Gateway) tryPlain(req *request, e *catalog.Endpoint, tries *attempts) (*bufferedAnswer, sendResult) {
 	tries.avoid[e.Key()] = true
 	sent := time.Now()
-	req.offered = true
+	req.sent = true
 	a, err := g.send(req.ctx, req, e, platform.Send{})
-	took := time.Since(sent)
+	duration := time.Since(sent)
 	if err != nil {
 		notSent := errorx.IsOfType(err, errNotSent)
 		if !notSent {
 			req.mayHaveRun = true
-			g.noteBroken(req, e)
+			g.recordBroken(req, e)
 		}
-		g.plainEnded(req, e, nil, g.silentUnlessLeft(req), took, err)
+		g.recordSend(req, e, nil, g.failureOutcome(req), duration, err)
 		if notSent {
 			return nil, resultNotRun
 		}
@@ -99,52 +105,53 @@
 	}
 	if a.NotRun {
 		_ = a.Body.Close()
-		g.plainEnded(req, e, a, balance.Full, took, nil)
+		g.recordSend(req, e, a, balance.Full, duration, nil)
 		return nil, resultNotRun
 	}
 	req.mayHaveRun = true
 	b := &bufferedAnswer{answer: a}
-	var early bool
-	b.body, b.whole, early = a.buffer()
+	var truncated bool
+	b.body, b.complete, truncated = a.buffer()
 	switch {
-	case early || !a.usable():
+	case truncated || !a.usable():
 		_ = a.Body.Close()
-		g.noteBroken(req, e)
-		g.plainEnded(req, e, a, g.silentUnlessLeft(req), took, errBroken.New("unusable answer with status %d", a.StatusCode))
+		g.recordBroken(req, e)
+		g.recordSend(req, e, a, g.failureOutcome(req), duration, errBroken.New("unusable answer with status %d", a.StatusCode))
 		return nil, resultFailed
 	case a.StatusCode >= http.StatusInternalServerError:
-		g.plainEnded(req, e, a, balance.Failed, took, nil)
-		b.failure = b.whole
-		if req.route.Repeatable() && b.whole {
+		g.recordSend(req, e, a, balance.Failed, duration, nil)
+		b.endpointError = b.complete
+		if req.route.Repeatable() && b.complete {
 			return b, resultFailed
 		}
 		return b, resultRelay
 	}
-	g.plainEnded(req, e, a, balance.Served, took, nil)
+	g.recordSend(req, e, a, balance.Served, duration, nil)
 	return b, resultRelay
 }
 
-// noteBroken notes a connection that broke under a request, by no doing of its
-// client and not for lack of time.
-func (g *Gateway) noteBroken(req *request, e *catalog.Endpoint) {
+// recordBroken records a connection that broke under a request, unless the client
+// left, the time ran out or a shutdown ended the request.
+func (g *Gateway) recordBroken(req *request, e *catalog.Endpoint) {
 	if req.ctx.Err() != nil {
 		return
 	}
-	g.crashes.broke(time.Now(), req.content, e)
-	// The endpoint may be known as gone already.
-	g.findCrashes(g.cfg.View())
+	g.crashTracker.addBroken(time.Now(), req.contentHash, e)
+	// The endpoint may already be missing from the view.
+	g.detectCrashes(g.cfg.View())
 }
 
-// silentUnlessLeft tells a silent endpoint from a client that left.
-func (g *Gateway) silentUnlessLeft(req *request) balance.Outcome {
-	if req.gone() {
+// failureOutcome is the outcome of a send without an answer: balance.Abandoned if the
+// client has left, else balance.Silent.
+func (g *Gateway) failureOutcome(req *request) balance.Outcome {
+	if req.clientLeft() {
 		return balance.Abandoned
 	}
 	return balance.Silent
 }
 
-// plainEnded tells the balancer and the log of a send.
-func (g *Gateway) plainEnded(req *request, e *catalog.Endpoint, a *answer, o balance.Outcome, took time.Duration, err error) {
+// recordSend reports a finished send to the balancer, the metrics and the log.
+func (g *Gateway) recordSend(req *request, e *catalog.Endpoint, a *answer, o balance.Outcome, duration time.Duration, err error) {
 	load, status := -1, 0
 	if a != nil {
 		status = a.StatusCode
@@ -152,37 +159,39 @@
 			load = a.Load.Running + a.Load.Waiting
 		}
 	}
-	g.balance.Ended(time.Now(), e.Key(), o, took, load)
-	g.cfg.Metrics.sent(req.serviceName, o, took)
-	g.logSend(req, e, status, took, err)
+	g.balance.Ended(time.Now(), e.Key(), o, duration, load)
+	g.cfg.Metrics.countSend(req.serviceName, o, duration)
+	g.logSend(req, e, status, duration, err)
 }
 
-// logSend writes the line for one send.
-func (g *Gateway) logSend(req *request, e *catalog.Endpoint, status int, took time.Duration, err error) {
+// logSend logs one send.
+func (g *Gateway) logSend(req *request, e *catalog.Endpoint, status int, duration time.Duration, err error) {
 	line := g.cfg.Log.Info()
 	if err != nil {
 		line = g.cfg.Log.Warn().Err(err)
 	}
 	line.Str("event", logSent).Str("request", req.ID).Str("route", req.route.Name).Str("endpoint", e.ID).
-		Int("status", status).Uint64("config", req.version).Dur("took_ms", took).Msg("sent to an endpoint")
+		Int("status", status).Uint64("config", req.configVersion).Dur("took_ms", duration).Msg("sent to an endpoint")
 }
 
-// countSend counts a send for the budget of repeated ones.
-func (g *Gateway) countSend(req *request, tries *attempts) {
+// countFirstSend counts a request's first send: the retry budget grows with first
+// sends.
+func (g *Gateway) countFirstSend(req *request, tries *attempts) {
 	if tries.runs+tries.rejections == 0 {
-		g.repeats.First(req.serviceName, time.Now())
+		g.retryBudget.First(req.serviceName, time.Now())
 	}
 }
 
-// again tells whether one more send is allowed after the result.
-func (g *Gateway) again(req *request, tries *attempts, result sendResult) bool {
+// mayRetry counts the result of a send and reports whether one more send is
+// allowed. If so, it takes the retry from the budget.
+func (g *Gateway) mayRetry(req *request, tries *attempts, result sendResult) bool {
 	switch result {
 	case resultNotRun:
 		tries.rejections++
 	case resultFailed:
 		tries.runs++
 	}
-	if req.ctx.Err() != nil || req.left() < minRetryTime {
+	if req.ctx.Err() != nil || req.remaining() < minRetryTime {
 		return false
 	}
 	if tries.runs > 0 && (!req.route.Repeatable() || tries.runs >= req.route.MaxAttempts) {
@@ -191,74 +200,76 @@
 	if tries.rejections >= maxRejections {
 		return false
 	}
-	if _, ok := g.fits(req); !ok {
+	if _, ok := g.finishesBeforeShutdown(req); !ok {
 		return false
 	}
-	return g.repeats.Take(req.serviceName, g.slack(), time.Now())
+	return g.retryBudget.Take(req.serviceName, g.retrySlack(), time.Now())
 }
 
-// noEndpoint ends a request that no endpoint served: with the last error of
-// an endpoint if there was one.
-func (g *Gateway) noEndpoint(w http.ResponseWriter, req *request, failed *bufferedAnswer) *problem {
+// finishUnserved answers a request that no endpoint served: with the last error
+// answer of an endpoint, or else with a problem.
+func (g *Gateway) finishUnserved(w http.ResponseWriter, req *request, failed *bufferedAnswer) *problem {
 	if failed != nil {
 		failed.write(w)
-		g.done(req, failed.StatusCode, "endpoint_error")
+		g.finish(req, failed.StatusCode, "endpoint_error")
 		return nil
 	}
-	return g.unserved(req)
+	return g.unservedProblem(req)
 }
 
-// unserved is the answer to a request that no endpoint served, or that a
-// planned stop leaves no time to send again.
-func (g *Gateway) unserved(req *request) *problem {
-	if p := g.refuseUnfit(req); p != nil {
+// unservedProblem returns the problem for a request that no endpoint served, or
+// that a shutdown leaves no time to retry.
+func (g *Gateway) unservedProblem(req *request) *problem {
+	if p := g.refuseIfCutByShutdown(req); p != nil {
 		return p
 	}
-	return ended(req, req.endedBy("no_endpoint_served"), busyRetry)
+	return giveUp(req, req.endReason("no_endpoint_served"), overloadRetryAfter)
 }
 
-// relayPlain passes an answer on.
+// relayPlain relays an answer to the client.
 func (g *Gateway) relayPlain(w http.ResponseWriter, req *request, e *catalog.Endpoint, a *bufferedAnswer) *problem {
-	if a.whole {
-		req.noteFirst()
+	if a.complete {
+		req.markFirstByte()
 		a.write(w)
-		g.done(req, a.StatusCode, "relayed")
+		g.finish(req, a.StatusCode, "relayed")
 		return nil
 	}
-	req.noteFirst()
-	a.head(w)
+	req.markFirstByte()
+	a.writeHead(w)
 	if err := a.relay(w); err != nil {
-		g.broken(req, e, err)
+		g.abortAnswer(req, e, err)
 	}
-	g.done(req, a.StatusCode, "relayed")
+	g.finish(req, a.StatusCode, "relayed")
 	return nil
 }
 
-// write sends an answer that was read whole.
+// write writes a complete answer to the client.
 func (b *bufferedAnswer) write(w http.ResponseWriter) {
-	b.head(w)
-	// A client that does not take its answer has left.
+	b.writeHead(w)
+	// A write fails only if the client has left.
 	_, _ = w.Write(b.body)
 }
 
-// broken ends the client's connection after an answer that ended early.
-func (g *Gateway) broken(req *request, e *catalog.Endpoint, err error) {
-	g.cfg.Metrics.count(req, "broken_off")
+// abortAnswer logs an answer that ended early and aborts the client's connection by
+// a panic with http.ErrAbortHandler.
+func (g *Gateway) abortAnswer(req *request, e *catalog.Endpoint, err error) {
+	g.cfg.Metrics.countAnswer(req, "broken_off")
 	g.cfg.Log.Warn().Str("event", logAnswered).Str("request", req.ID).Str("route", req.route.Name).
-		Str("endpoint", e.ID).Str("reason", "broken_off").Bool("client_left", req.gone()).
-		Bool("expired", req.expired()).Bool("stopping", endedByStop(req.ctx)).Err(err).Dur("took_ms", time.Since(req.arrived)).Msg("answer broken off")
+		Str("endpoint", e.ID).Str("reason", "broken_off").Bool("client_left", req.clientLeft()).
+		Bool("expired", req.expired()).Bool("stopping", cancelledByShutdown(req.ctx)).Err(err).Dur("took_ms", time.Since(req.arrived)).Msg("answer aborted before its end")
 	panic(http.ErrAbortHandler)
 }
 
-// done writes the line for an answer that was relayed whole.
-func (g *Gateway) done(req *request, status int, reason string) {
-	g.crashes.served(req.content)
-	// Failures often come at once and say nothing of how long a success lasts.
+// finish logs and counts an answer that was relayed completely, and clears the
+// request's content of crashes.
+func (g *Gateway) finish(req *request, status int, reason string) {
+	g.crashTracker.recordServed(req.contentHash)
+	// Failures are often immediate and say nothing about the duration of a success.
 	if status < http.StatusMultipleChoices {
-		g.paces.served(req.route.Name, req.timing(time.Now()))
+		g.durationEstimator.recordServed(req.route.Name, req.timing(time.Now()))
 	}
-	g.cfg.Metrics.count(req, reason)
+	g.cfg.Metrics.countAnswer(req, reason)
 	g.cfg.Log.Info().Str("event", logAnswered).Str("request", req.ID).Str("route", req.route.Name).
-		Int("status", status).Str("reason", reason).Uint64("config", req.version).
+		Int("status", status).Str("reason", reason).Uint64("config", req.configVersion).
 		Dur("took_ms", time.Since(req.arrived)).Msg("answered")
 }
--- a/gateway/plain_test.go
+++ b/gateway/plain_test.go
@@ -20,7 +20,7 @@
 
 func TestAnswerIsRelayedAsItIs(t *testing.T) {
 	r := newRig(t)
-	e := r.endpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
+	e := r.startEndpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		w.Header().Set("X-Own", "1")
 		w.WriteHeader(http.StatusCreated)
@@ -41,14 +41,14 @@
 	assert.Equal(t, run.Header.Get("Authorization"), "")
 }
 
-func TestWhoIsLetIn(t *testing.T) {
+func TestAdmission(t *testing.T) {
 	r := newRig(t)
 	req := r.request(http.MethodGet, "/idem/", "")
 	got := r.do(req)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable, "no configuration yet")
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 
-	r.endpoint("plain", "i-1", nil)
+	r.startEndpoint("plain", "i-1", nil)
 	tests := []struct {
 		name, path, key string
 		body            int
@@ -69,23 +69,23 @@
 	}
 }
 
-// A workshop order is sent to an endpoint, which runs it and dies before it
-// answers. The order must not be sent again, and the client must not be told
-// that it has not run.
-func TestOnceIsNotSentAgain(t *testing.T) {
+// A request that must run at most once is sent to an endpoint, which runs it and dies
+// before it answers. The request must not be sent again, and the client must not be
+// told that it has not run.
+func TestOnceRequestIsNotRetried(t *testing.T) {
 	r := newRig(t)
 	broken := func(http.ResponseWriter, standin.Run) { standin.Break() }
-	one := r.endpoint("plain", "i-1", broken)
-	two := r.endpoint("plain", "i-2", broken)
+	one := r.startEndpoint("plain", "i-1", broken)
+	two := r.startEndpoint("plain", "i-2", broken)
 	got := r.do(r.request(http.MethodPost, "/once/", "order"))
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Equal(t, len(one.Runs())+len(two.Runs()), 1)
 }
 
-// net/http sends a GET again by itself when a kept connection proves dead, so
-// an order by GET ran twice: the endpoint runs each request and then drops the
+// Guards against a GET that runs twice: net/http itself resends it when a kept
+// connection turns out to be dead. The endpoint runs each request and then drops the
 // connection, every second time without an answer.
-func TestTransportDoesNotRepeatOnce(t *testing.T) {
+func TestTransportDoesNotRetryOnceRequest(t *testing.T) {
 	r := newRig(t)
 	var mu sync.Mutex
 	served, calls := make(map[string]int), 0
@@ -131,8 +131,8 @@
 	}
 }
 
-// An endpoint breaks off; a request that may be repeated is served by another.
-func TestIdempotentIsSentAgain(t *testing.T) {
+// An endpoint drops the connection; another one serves the idempotent request.
+func TestIdempotentRequestIsRetried(t *testing.T) {
 	r := newRig(t)
 	var once sync.Once
 	fail := func(w http.ResponseWriter, _ standin.Run) {
@@ -144,19 +144,19 @@
 		standin.Seal(w)
 		_, _ = io.WriteString(w, "ok")
 	}
-	r.endpoint("plain", "i-1", fail)
-	r.endpoint("plain", "i-2", fail)
+	r.startEndpoint("plain", "i-1", fail)
+	r.startEndpoint("plain", "i-2", fail)
 	got := r.do(r.request(http.MethodGet, "/idem/", ""))
 	assert.Equal(t, got.status, http.StatusOK)
 	assert.Equal(t, got.body, "ok")
 }
 
-// All endpoints refuse: the request has not run, and the client is told so,
-// at once and with when to come back.
-func TestAllRefuse(t *testing.T) {
+// All endpoints refuse: the request has not run, and the client is told so at once,
+// with a Retry-After.
+func TestAllEndpointsRefuse(t *testing.T) {
 	r := newRig(t)
 	for _, id := range []string{"i-1", "i-2"} {
-		r.endpoint("plain", id, nil).Reject(true)
+		r.startEndpoint("plain", id, nil).Reject(true)
 	}
 	began := time.Now()
 	got := r.do(r.request(http.MethodPost, "/once/", "order"))
@@ -166,8 +166,8 @@
 	assert.Assert(t, time.Since(began) < 2*time.Second)
 }
 
-// Answers that are not the endpoint's own, whole and sealed answer to this
-// request must not reach the client as a success.
+// An answer must not reach the client as a success unless it is the endpoint's own
+// complete and sealed answer to this request.
 func TestUnusableAnswers(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -195,7 +195,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := newRig(t)
-			r.endpoint("plain", "i-1", tt.answer)
+			r.startEndpoint("plain", "i-1", tt.answer)
 			got := r.do(r.request(http.MethodPost, "/once/", "order"))
 			assert.Equal(t, got.status, http.StatusBadGateway)
 			assert.Assert(t, !strings.Contains(got.body, "secret"))
@@ -203,24 +203,24 @@
 	}
 }
 
-// An answer without a length breaks off after its headers have gone out: the
-// client must see that it is not whole.
-func TestUnframedAnswerThatBreaksOff(t *testing.T) {
+// An answer without a length ends early after its headers were relayed: the client
+// must see that it is incomplete.
+func TestTruncatedAnswerWithoutLength(t *testing.T) {
 	r := newRig(t)
-	r.endpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
+	r.startEndpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
 		standin.Break()
 	})
 	got := r.do(r.request(http.MethodPost, "/once/", "order"))
-	assert.Assert(t, got.err != nil, "status %d, body %q looks whole", got.status, got.body)
+	assert.Assert(t, got.err != nil, "status %d, body %q looks complete", got.status, got.body)
 }
 
-// The answer to an endpoint's own failure is passed on with its status.
+// An endpoint's own error is relayed with its status if no other endpoint is left.
 func TestEndpointErrorIsRelayed(t *testing.T) {
 	r := newRig(t)
-	e := r.endpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
+	e := r.startEndpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "broken")
@@ -228,10 +228,10 @@
 	got := r.do(r.request(http.MethodGet, "/idem/", ""))
 	assert.Equal(t, got.status, http.StatusInternalServerError)
 	assert.Equal(t, got.body, "broken")
-	assert.Equal(t, len(e.Runs()), 1, "there is no other endpoint")
+	assert.Equal(t, len(e.Runs()), 1, "no other endpoint is left")
 }
 
-// The client leaves: the endpoint must not go on working for nobody.
+// The client leaves: the endpoint's request must be cancelled.
 func TestClientLeaves(t *testing.T) {
 	r := newRig(t)
 	started, stopped := make(chan struct{}), make(chan struct{})
@@ -248,13 +248,13 @@
 	r.do(r.request(http.MethodGet, "/once/", "").WithContext(ctx))
 	select {
 	case <-stopped:
-	case <-time.After(patience):
-		t.Fatal("the endpoint still works")
+	case <-time.After(waitTimeout):
+		t.Fatal("the endpoint's request was not cancelled")
 	}
 }
 
-// An endpoint hangs until the request's deadline: the client gets its final
-// answer then, and it does not say that the request has not run.
+// An endpoint hangs until the request's deadline: the client then gets a final answer
+// that does not say that the request has not run.
 func TestDeadline(t *testing.T) {
 	r := newRig(t)
 	r.add("plain", "i-1", serve(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
@@ -266,13 +266,13 @@
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
 }
 
-// All endpoints fail, and each request is sent again: the load on them must
-// not double. Repeats keep to a share of the first sends and a fixed slack.
-func TestRepeatsAreBounded(t *testing.T) {
+// All endpoints fail and each request is retried: the load on them must not double.
+// Retries are limited to a ratio of the first sends and a fixed slack.
+func TestRetriesAreBounded(t *testing.T) {
 	r := newRig(t)
 	var endpoints []*standin.Endpoint
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		endpoints = append(endpoints, r.endpoint("plain", id, func(http.ResponseWriter, standin.Run) { standin.Break() }))
+		endpoints = append(endpoints, r.startEndpoint("plain", id, func(http.ResponseWriter, standin.Run) { standin.Break() }))
 	}
 	const sent = 100
 	for range sent {
@@ -285,20 +285,20 @@
 	assert.Assert(t, runs > sent && runs <= sent+sent*20/100+20, "%d runs of %d requests", runs, sent)
 }
 
-func TestLeavingGateway(t *testing.T) {
+func TestGatewayDuringShutdown(t *testing.T) {
 	r := newRig(t)
-	r.endpoint("plain", "i-1", nil)
+	r.startEndpoint("plain", "i-1", nil)
 	ready := func() int {
 		w := httptest.NewRecorder()
 		r.gateway.Ready(w, nil)
 		return w.Code
 	}
 	assert.Equal(t, ready(), http.StatusOK)
-	r.gateway.Leave(time.Now().Add(patience))
+	r.gateway.Leave(time.Now().Add(waitTimeout))
 	assert.Equal(t, ready(), http.StatusServiceUnavailable)
 	resp, err := http.DefaultClient.Do(r.request(http.MethodGet, "/idem/", ""))
 	assert.NilError(t, err)
 	defer func() { _ = resp.Body.Close() }()
-	assert.Equal(t, resp.StatusCode, http.StatusOK, "it serves until the balancer has noticed")
+	assert.Equal(t, resp.StatusCode, http.StatusOK, "it serves until the load balancer sends clients elsewhere")
 	assert.Assert(t, resp.Close, "the client must open its next connection elsewhere")
 }
--- a/gateway/problem.go
+++ b/gateway/problem.go
@@ -9,57 +9,59 @@
 	"github.com/mangostage/mangostage/platform"
 )
 
-// problem is an answer of our own.
+// problem is an error answer that the gateway itself gives.
 type problem struct {
 	status int
 	// reason is a stable word for logs and clients.
 	reason string
-	// retryAfter is set where the request has not run and may come back.
+	// retryAfter is set if the request has not run and may be sent again.
 	retryAfter time.Duration
-	// queue says which service was short of something, short of what, and behind
-	// how much too late the request would have been.
-	queue  string
-	short  dispatch.Resource
-	behind time.Duration
-	// close ends the connection after the answer.
+	// queue is the service whose queue refused the request, shortOf the resource that it
+	// lacked, and lateness how much too late the request would have been.
+	queue    string
+	shortOf  dispatch.Resource
+	lateness time.Duration
+	// close is true if the client's connection is to be closed after the answer.
 	close bool
-	// readEnded says that the gateway itself has ended the reading from the
-	// client, which net/http takes for a client that has left.
-	readEnded bool
+	// readInterrupted is true if the gateway itself interrupted reading from the client,
+	// which net/http reports like a client that has left.
+	readInterrupted bool
 }
 
 // Reasons of requests that ended before their answer came, by who ended them.
 const (
 	reasonClientLeft = "client_left"
-	// reasonClientDeadline and reasonRouteTimeout say which of the two was shorter.
+	// reasonClientDeadline and reasonRouteTimeout say which of the two limits was
+	// shorter.
 	reasonClientDeadline = "client_deadline"
 	reasonRouteTimeout   = "route_timeout"
 )
 
-// endedBy is the reason of a request that got no answer: who ended it, or what
-// else there is to say if nobody did.
-func (req *request) endedBy(otherwise string) string {
+// endReason returns the reason of a request that got no answer: what ended it, or
+// fallback if nothing did.
+func (req *request) endReason(fallback string) string {
 	switch {
-	case endedByStop(req.ctx):
+	case cancelledByShutdown(req.ctx):
 		return reasonStopping
-	case req.gone():
+	case req.clientLeft():
 		return reasonClientLeft
 	case !req.expired():
-		return otherwise
-	case req.routeLimits():
+		return fallback
+	case req.routeTimeoutIsShorter():
 		return reasonRouteTimeout
 	}
 	return reasonClientDeadline
 }
 
-// unavailable says that the request has not run and when to come back.
+// unavailable returns a problem for a request that has not run and may be sent again
+// after retryAfter.
 func unavailable(reason string, retryAfter time.Duration) *problem {
 	return &problem{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-// ended is the answer to a request that is given up: "not run" only if no
-// endpoint can have run it.
-func ended(req *request, reason string, retryAfter time.Duration) *problem {
+// giveUp returns the problem for a request that is given up. It says that the
+// request has not run only if no endpoint can have run it.
+func giveUp(req *request, reason string, retryAfter time.Duration) *problem {
 	switch {
 	case !req.mayHaveRun:
 		return unavailable(reason, retryAfter)
@@ -69,7 +71,7 @@
 	return &problem{status: http.StatusBadGateway, reason: reason}
 }
 
-// problemBody follows RFC 9457.
+// problemBody is the body of a problem; it follows RFC 9457.
 type problemBody struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -77,19 +79,20 @@
 	// Reason is a stable word that support can search for.
 	Reason  string `json:"reason"`
 	Request string `json:"request,omitempty"`
-	// Ran is false only if the request has not run and never will.
+	// Ran is "no" if the request has not run and never will, else "unknown".
 	Ran string `json:"ran"`
 }
 
-// refuse answers the client, if it is still there.
+// refuse logs a problem and writes it to the client, or aborts the connection if the
+// client has left.
 func (g *Gateway) refuse(w http.ResponseWriter, req *request, p *problem) {
-	left := req.gone() && !p.readEnded
-	g.cfg.Metrics.count(req, p.reason)
+	clientLeft := req.clientLeft() && !p.readInterrupted
+	g.cfg.Metrics.countAnswer(req, p.reason)
 	g.cfg.Log.Info().Str("event", logAnswered).Str("request", req.ID).Str("route", routeName(req)).
-		Int("status", p.status).Str("reason", p.reason).Bool("offered", req.offered).
-		Bool("may_have_run", req.mayHaveRun).Bool("client_left", left).Uint64("config", req.version).
-		Str("queue", p.queue).Str("short", string(p.short)).Dur("behind_ms", p.behind).Dur("retry_after_ms", p.retryAfter).Dur("took_ms", time.Since(req.arrived)).Msg("own answer")
-	if left {
+		Int("status", p.status).Str("reason", p.reason).Bool("offered", req.sent).
+		Bool("may_have_run", req.mayHaveRun).Bool("client_left", clientLeft).Uint64("config", req.configVersion).
+		Str("queue", p.queue).Str("short", string(p.shortOf)).Dur("behind_ms", p.lateness).Dur("retry_after_ms", p.retryAfter).Dur("took_ms", time.Since(req.arrived)).Msg("request answered by the gateway itself")
+	if clientLeft {
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
@@ -113,10 +116,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(p.status)
-	// A client that does not take its answer has left.
+	// A write fails only if the client has left.
 	_, _ = w.Write(body)
 }
 
+// routeName returns the name of the request's route, or "" if it has none.
 func routeName(req *request) string {
 	if req.route == nil {
 		return ""
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// maxBuffered is the longest answer that is read whole before it is
-	// relayed; one that ends early can then still be asked for elsewhere.
+	// maxBuffered is the longest body in bytes that is read completely before it is
+	// relayed, so that another endpoint can still be tried if it ends early.
 	maxBuffered = 64 << 10
-	// maxEvent is the longest event that is held back until it is complete.
+	// maxEvent is the longest event in bytes that is held until it is complete.
 	maxEvent = 256 << 10
+	// readSize is the size in bytes of one read from a stream.
 	readSize = 8 << 10
 )
 
-// usable tells whether an answer may be relayed as it is: a success needs the
-// endpoint's seal and its own bytes.
+// usable reports whether an answer may be relayed as it is. A success must carry the
+// endpoint's seal and must not be content-encoded.
 func (a *answer) usable() bool {
 	if a.StatusCode < 200 || a.StatusCode > 299 {
 		return true
@@ -26,9 +27,9 @@
 	return a.Sealed && !a.Encoded
 }
 
-// buffer reads a short answer whole. It leaves longer ones, and those without
-// a length, to be relayed as they come; early tells that an answer broke off.
-func (a *answer) buffer() (body []byte, whole, early bool) {
+// buffer reads a short body completely. It leaves a longer one, and one without a
+// length, to be relayed as it arrives. truncated is true if a short body ended early.
+func (a *answer) buffer() (body []byte, complete, truncated bool) {
 	if a.ContentLength < 0 || a.ContentLength > maxBuffered {
 		return nil, false, false
 	}
@@ -37,19 +38,19 @@
 	return body, true, err != nil
 }
 
-// head writes the endpoint's status and headers.
-func (a *answer) head(w http.ResponseWriter) {
+// writeHead writes the endpoint's status and headers to the client.
+func (a *answer) writeHead(w http.ResponseWriter) {
 	platform.CopyAnswerHeader(w.Header(), a.Header)
 	if len(a.Header["Content-Type"]) == 0 {
-		// Without this net/http would guess a type.
+		// A nil value keeps net/http from guessing a type.
 		w.Header()["Content-Type"] = nil
 	}
 	w.WriteHeader(a.StatusCode)
 }
 
-// relay copies the rest of the answer. An answer that ends early must not look
-// complete, so the client's connection is broken off: with a length the client
-// misses bytes, without one it misses the last chunk.
+// relay copies the rest of the answer. If it ends early, the caller must abort the
+// client's connection, so that the answer does not look complete: the client then
+// misses bytes of a known length, or the last chunk.
 func (a *answer) relay(w http.ResponseWriter) error {
 	defer func() { _ = a.Body.Close() }()
 	if _, err := io.Copy(w, a.Body); err != nil {
@@ -58,32 +59,34 @@
 	return nil
 }
 
-// events reads a stream event by event.
-type events struct {
-	body    io.Reader
+// eventReader reads a stream of server-sent events.
+type eventReader struct {
+	body io.Reader
+	// pending holds the bytes that were read and not yet returned.
 	pending []byte
-	chunk   []byte
-	// last is the ID of the last complete event.
-	last string
+	// chunk is the read buffer.
+	chunk []byte
+	// lastID is the ID of the last complete event.
+	lastID string
 }
 
-func newEvents(body io.Reader) *events {
-	return &events{body: body, chunk: make([]byte, readSize)}
+func newEventReader(body io.Reader) *eventReader {
+	return &eventReader{body: body, chunk: make([]byte, readSize)}
 }
 
-// next returns the bytes of the events that have become complete. At the end
-// of the stream it returns what is left and io.EOF; another error means that
-// the stream broke off, and the bytes of the incomplete event are dropped.
-func (e *events) next() ([]byte, error) {
+// next returns the bytes of one or more complete events. At the end of the stream it
+// returns the remaining bytes and io.EOF. Any other error means that the stream broke;
+// the bytes returned with it belong to an incomplete event and must not be relayed.
+func (e *eventReader) next() ([]byte, error) {
 	for {
-		if n := boundary(e.pending); n > 0 {
+		if n := completeLen(e.pending); n > 0 {
 			out := e.pending[:n:n]
 			e.pending = e.pending[n:]
-			e.note(out)
+			e.recordLastID(out)
 			return out, nil
 		}
 		if len(e.pending) > maxEvent {
-			return nil, errBroken.New("an event of more than %d bytes", maxEvent)
+			return nil, errBroken.New("event exceeds %d bytes", maxEvent)
 		}
 		n, err := e.body.Read(e.chunk)
 		e.pending = append(e.pending, e.chunk[:n]...)
@@ -98,8 +101,8 @@
 	}
 }
 
-// boundary is the length of the complete events at the start of data.
-func boundary(data []byte) int {
+// completeLen returns the length of the complete events at the start of data.
+func completeLen(data []byte) int {
 	n := 0
 	if i := bytes.LastIndex(data, []byte("\n\n")); i >= 0 {
 		n = i + 2
@@ -110,11 +113,11 @@
 	return n
 }
 
-// note remembers the last event ID in complete events.
-func (e *events) note(data []byte) {
+// recordLastID sets lastID from complete events.
+func (e *eventReader) recordLastID(data []byte) {
 	for _, line := range bytes.Split(data, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -16,75 +16,74 @@
 	"github.com/mangostage/mangostage/platform"
 )
 
-// defaultDeadline holds for requests that say nothing of their deadline on
-// routes without a timeout.
+// defaultDeadline applies to requests without a deadline on routes without a timeout.
 const defaultDeadline = 30 * time.Second
 
-// defaultBody bounds bodies in bytes where the configuration does not.
-const defaultBody = 4 << 20
+// defaultMaxBody limits bodies, in bytes, if the configuration does not.
+const defaultMaxBody = 4 << 20
 
-// request is one request of a client.
+// request is the state of one client request.
 type request struct {
 	platform.Request
 	http    *http.Request
 	route   *catalog.Route
 	service *catalog.Service
-	// serviceName is the route's service that the request goes to.
+	// serviceName is the service of the route to which the request is sent.
 	serviceName string
 	account     *catalog.Account
 	body        []byte
-	// content is the hash of what stays the same when a client sends the
-	// request again.
-	content uint64
-	arrived time.Time
-	// deadline is when the client or the route's timeout gives up.
+	// contentHash identifies the content of the request across a client's retries.
+	contentHash uint64
+	arrived     time.Time
+	// deadline is the earlier of the client's deadline and the route's timeout.
 	deadline time.Time
-	// age is how long ago the client sent the request for the first time, as
-	// far as can be told.
+	// age is the estimated time since the client first sent the request; 0 for a first
+	// attempt.
 	age time.Duration
-	// version is the configuration that decided.
-	version uint64
-	ctx     context.Context
-	cancel  context.CancelFunc
-	// chosen is when the request's engine, or the first endpoint of a plain
-	// service, was chosen; first when the answer began. Both are zero until then.
-	chosen, first time.Time
-	// offered is set once an endpoint was sent the request; mayHaveRun once
-	// one may have run it.
-	offered    bool
+	// configVersion is the version of the configuration that admitted or refused the
+	// request.
+	configVersion uint64
+	ctx           context.Context
+	cancel        context.CancelFunc
+	// endpointChosenAt is when the engine, or the first endpoint of a plain service, was
+	// chosen; firstByteAt is when the answer began. Both are zero until then.
+	endpointChosenAt, firstByteAt time.Time
+	// sent is true once the request was sent to an endpoint; mayHaveRun is true once an
+	// endpoint may have run it.
+	sent       bool
 	mayHaveRun bool
 }
 
-// admit finds the request's route and account.
+// admit decodes a request and finds its route, service and client account.
 func (g *Gateway) admit(r *http.Request) (*request, *problem) {
 	now := time.Now()
 	req := &request{Request: platform.DecodeRequest(r.Header), http: r, arrived: now}
 	view := g.cfg.View()
 	if !view.Ready() {
-		return req, unavailable("not_ready", notReadyRetry)
+		return req, unavailable("not_ready", notReadyRetryAfter)
 	}
 	index := view.Index
-	if req.allowed(index) != nil {
-		// A client that is turned away does not come back, so that is never
-		// done by a configuration from before a pause of this process.
+	if req.authorize(index) != nil {
+		// A refused client does not retry, so the gateway never refuses by a configuration
+		// from before a pause of this process.
 		index = g.cfg.Current().Index
-		if p := req.allowed(index); p != nil {
+		if p := req.authorize(index); p != nil {
 			return req, p
 		}
 	}
-	req.serviceName = pickShare(req.route, req.ID)
+	req.serviceName = pickService(req.route, req.ID)
 	req.service = index.Service(req.serviceName)
-	req.deadline = now.Add(timeLeft(req))
-	req.age = g.ages.of(req.route.Name, req.Deadline)
-	req.begin(g.planned)
+	req.deadline = now.Add(requestTimeout(req))
+	req.age = g.ageEstimator.estimate(req.route.Name, req.Deadline)
+	req.startContext(g.shutdown)
 	return req, nil
 }
 
-// begin makes the context in which the request is served: it ends with the
-// client's leaving, the request's own time, or a planned stop.
-func (req *request) begin(p *planned) {
+// startContext creates the context in which the request is served. It ends when the
+// client leaves, at the request's deadline, or at the end of a shutdown.
+func (req *request) startContext(s *shutdown) {
 	ctx, cancelDeadline := context.WithDeadline(req.http.Context(), req.deadline)
-	ctx, cancelStop := p.until(ctx, 0)
+	ctx, cancelStop := s.boundContext(ctx, 0)
 	req.ctx = ctx
 	req.cancel = func() {
 		cancelStop()
@@ -92,9 +91,9 @@
 	}
 }
 
-// allowed finds the request's route and account in a configuration.
-func (req *request) allowed(index *catalog.Index) *problem {
-	req.version = index.Config.Version
+// authorize finds the request's route and client account in a configuration.
+func (req *request) authorize(index *catalog.Index) *problem {
+	req.configVersion = index.Config.Version
 	req.route = index.Route(hostOf(req.http), req.http.URL.EscapedPath())
 	if req.route == nil {
 		return &problem{status: http.StatusNotFound, reason: "no_route"}
@@ -106,10 +105,11 @@
 	return nil
 }
 
-// viewFor is the view by which an endpoint is chosen. A request that cannot be
-// sent again must not go to an endpoint that began to leave during a pause of
-// this process and takes it along. Others are not held up: endpoints that leave
-// serve on for a while, and those that are gone refuse.
+// viewFor returns the view from which an endpoint is chosen. A request that must not
+// be retried waits for the view after a pause of this process: an endpoint that began
+// to leave during the pause could end with the request. Retryable requests do not
+// wait: a leaving endpoint still serves for a while, and one that has gone refuses
+// connections.
 func (g *Gateway) viewFor(req *request) *catalog.View {
 	if req.route.Repeatable() {
 		return g.cfg.View()
@@ -117,7 +117,7 @@
 	return g.cfg.Current()
 }
 
-// hostOf is the request's host without a port.
+// hostOf returns the request's host in lower case, without the port.
 func hostOf(r *http.Request) string {
 	if host, _, err := net.SplitHostPort(r.Host); err == nil {
 		return strings.ToLower(host)
@@ -125,103 +125,104 @@
 	return strings.ToLower(r.Host)
 }
 
-// timeLeft is the shorter of the client's deadline and the route's timeout.
-func timeLeft(req *request) time.Duration {
-	left := defaultDeadline
+// requestTimeout returns the shorter of the client's deadline and the route's timeout.
+func requestTimeout(req *request) time.Duration {
+	timeout := defaultDeadline
 	if req.route.Timeout > 0 {
-		left = req.route.Timeout
+		timeout = req.route.Timeout
 	}
 	if req.Deadline > 0 {
-		left = min(left, req.Deadline)
+		timeout = min(timeout, req.Deadline)
 	}
-	return left
+	return timeout
 }
 
-// routeLimits tells whether the route's timeout is shorter than the client's deadline.
-func (req *request) routeLimits() bool {
+// routeTimeoutIsShorter reports whether the route's timeout is shorter than the
+// client's deadline.
+func (req *request) routeTimeoutIsShorter() bool {
 	return req.route.Timeout > 0 && (req.Deadline <= 0 || req.route.Timeout < req.Deadline)
 }
 
-// shareSteps is how finely weights are told apart.
-const shareSteps = 1 << 20
+// weightSteps is the number of hash values among which the weights are divided.
+const weightSteps = 1 << 20
 
-// pickShare chooses the route's service by weight. The choice follows from
-// the request's ID, so that it does not change between attempts.
-func pickShare(r *catalog.Route, id string) string {
+// pickService chooses the route's service by weight. The choice depends only on the
+// request ID, so that it stays the same across attempts.
+func pickService(r *catalog.Route, id string) string {
 	total := 0.0
 	for _, s := range r.Split {
 		total += max(0, s.Weight)
 	}
-	at := total * float64(xxhash.Sum64String(id)%shareSteps) / shareSteps
+	point := total * float64(xxhash.Sum64String(id)%weightSteps) / weightSteps
 	for _, s := range r.Split {
-		if at -= max(0, s.Weight); at < 0 {
+		if point -= max(0, s.Weight); point < 0 {
 			return s.Service
 		}
 	}
 	return r.Split[0].Service
 }
 
-// readBody reads the whole body: only then can it be sent, whole, more than once.
+// readBody reads the whole body, so that it can be sent more than once.
 func (g *Gateway) readBody(w http.ResponseWriter, req *request) *problem {
 	limit := g.cfg.View().Index.Config.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
 	body := http.MaxBytesReader(w, req.http.Body, limit)
 	var buffer bytes.Buffer
 	if n := req.http.ContentLength; n > 0 && n <= limit {
 		buffer.Grow(int(n) + bytes.MinRead)
 	}
-	inTime := endRead(w, req)
+	stop := interruptRead(w, req)
 	_, err := io.Copy(&buffer, body)
 	var tooLarge *http.MaxBytesError
 	switch {
-	case !inTime() && (endedByStop(req.ctx) || req.expired()):
-		return lateBody(req)
+	case !stop() && (cancelledByShutdown(req.ctx) || req.expired()):
+		return lateBodyProblem(req)
 	case errors.As(err, &tooLarge):
 		return &problem{status: http.StatusRequestEntityTooLarge, reason: "body_too_large"}
 	case err != nil:
-		// The client broke off or its chunks are malformed.
+		// The client closed the connection or its chunks are malformed.
 		return &problem{status: http.StatusBadRequest, reason: "body_unreadable", close: true}
 	}
 	req.body = buffer.Bytes()
 	return nil
 }
 
-// endRead ends the reading of the body with the request's context, of which a
-// blocked read knows nothing: else half a request would hold up a planned stop,
-// and its client would get no answer. inTime ends that, and tells whether the
-// context had not ended.
-func endRead(w http.ResponseWriter, req *request) (inTime func() bool) {
+// interruptRead interrupts reading the body when the request's context ends. A
+// blocked read does not observe the context: without this, a half-sent request would
+// hold up a shutdown, and its client would get no answer. stop ends the watch and
+// reports whether the context had not ended before.
+func interruptRead(w http.ResponseWriter, req *request) (stop func() bool) {
 	return context.AfterFunc(req.ctx, func() {
-		// Without deadlines the read ends with the connection, as it would anyway.
+		// If w does not support read deadlines, the read ends with the connection.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now())
 	})
 }
 
-// lateBody is the answer to a request whose body did not come in its time or
-// in that of a planned stop.
-func lateBody(req *request) *problem {
-	p := unavailable("body_late", elsewhereRetry)
-	if endedByStop(req.ctx) {
+// lateBodyProblem returns the problem for a request whose body was not complete
+// before its deadline or the end of a shutdown.
+func lateBodyProblem(req *request) *problem {
+	p := unavailable("body_late", otherGatewayRetryAfter)
+	if cancelledByShutdown(req.ctx) {
 		p.reason = reasonStopping
 	}
-	p.close, p.readEnded = true, true
+	p.close, p.readInterrupted = true, true
 	return p
 }
 
-// left is the time that the request has left.
-func (req *request) left() time.Duration { return time.Until(req.deadline) }
+// remaining returns the time until the deadline.
+func (req *request) remaining() time.Duration { return time.Until(req.deadline) }
 
-// expired tells whether the request's own time has run out, and not its client left.
+// expired reports whether the deadline has passed, as opposed to the client leaving.
 func (req *request) expired() bool {
 	return errors.Is(req.ctx.Err(), context.DeadlineExceeded)
 }
 
-// gone tells whether the client has left.
-func (req *request) gone() bool { return req.http.Context().Err() != nil }
+// clientLeft reports whether the client has closed its connection.
+func (req *request) clientLeft() bool { return req.http.Context().Err() != nil }
 
-// priority is the account's, or else the route's.
+// priority returns the client account's priority, or the route's if it has none.
 func (req *request) priority() int {
 	if req.account != nil && req.account.Priority != nil {
 		return *req.account.Priority
@@ -229,7 +230,7 @@
 	return req.route.Priority
 }
 
-// accountName is what endpoints get to see of the client account.
+// accountName returns the name of the client account as endpoints see it, or "".
 func (req *request) accountName() string {
 	if req.account == nil {
 		return ""
@@ -237,22 +238,22 @@
 	return req.account.Name
 }
 
-// noteFirst notes that the answer began; only the first time counts.
-func (req *request) noteFirst() {
-	if req.first.IsZero() {
-		req.first = time.Now()
+// markFirstByte records when the answer began; later calls have no effect.
+func (req *request) markFirstByte() {
+	if req.firstByteAt.IsZero() {
+		req.firstByteAt = time.Now()
 	}
 }
 
-// timing is how the request went that is answered now.
+// timing returns the durations of a request whose answer was complete at now.
 func (req *request) timing(now time.Time) timing {
-	first := req.first
+	first := req.firstByteAt
 	if first.IsZero() {
 		first = now
 	}
-	t := timing{toFirst: first.Sub(req.arrived), rest: now.Sub(first), tokens: req.TokensOut}
-	if !req.chosen.IsZero() {
-		t.prompt = max(0, first.Sub(req.chosen))
+	t := timing{firstByte: first.Sub(req.arrived), transfer: now.Sub(first), maxTokens: req.TokensOut}
+	if !req.endpointChosenAt.IsZero() {
+		t.engineFirstByte = max(0, first.Sub(req.endpointChosenAt))
 	}
 	return t
 }
--- a/gateway/request_test.go
+++ b/gateway/request_test.go
@@ -11,7 +11,7 @@
 
 // A route is split between an old and a new service. Requests must follow the
 // weights, whatever their scale, and none may go to a service of weight 0.
-func TestPickShare(t *testing.T) {
+func TestPickService(t *testing.T) {
 	const requests = 20000
 	tests := map[string]struct {
 		weights []float64
@@ -35,8 +35,8 @@
 			got := make(map[string]int)
 			for i := range requests {
 				id := fmt.Sprintf("request-%d", i)
-				service := pickShare(r, id)
-				assert.Equal(t, service, pickShare(r, id), "the choice must not change between attempts")
+				service := pickService(r, id)
+				assert.Equal(t, service, pickService(r, id), "the choice must not change between attempts")
 				got[service]++
 			}
 			for i, want := range test.want {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -13,27 +13,28 @@
 	"github.com/mangostage/mangostage/platform"
 )
 
-// answer is what came back from an endpoint.
+// answer is an endpoint's response.
 type answer struct {
 	*http.Response
 	platform.Answer
 }
 
-// send sends the request to one endpoint. Its error is errNotSent or
-// errUnknown; an answer may still say that the request has not run.
+// send sends the request to one endpoint and returns its response. An error is of
+// type errNotSent or errUnknown. A response may still say that the endpoint has not
+// run the request.
 func (g *Gateway) send(ctx context.Context, req *request, e *catalog.Endpoint, s platform.Send) (*answer, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	s.Endpoint = e.ID
-	s.Remaining = req.left()
+	s.Remaining = req.remaining()
 	s.Account = req.accountName()
 	out, err := http.NewRequestWithContext(ctx, req.http.Method, "http://"+e.Addr, nil)
 	if err != nil {
 		return nil, errNotSent.Wrap(err, "request")
 	}
-	// The request's target goes on as the client wrote it.
+	// The request target is forwarded as the client wrote it.
 	out.URL = &url.URL{Scheme: "http", Host: e.Addr, Opaque: req.http.RequestURI}
 	out.Host = req.http.Host
 	out.Header = platform.ForwardHeader(req.http.Header, s)
@@ -52,21 +53,21 @@
 	}
 	a := &answer{Response: resp, Answer: platform.DecodeAnswer(resp.StatusCode, resp.Header)}
 	if a.ID != req.ID {
-		// A late answer to an earlier request on this connection, or bytes that
-		// are no answer to ours: whose it is cannot be told, so nobody gets it.
+		// This is a late answer to an earlier request on the connection, or not an answer
+		// to this request at all. Its recipient is unknown, so nobody gets it.
 		_ = resp.Body.Close()
-		return nil, errUnknown.New("endpoint %s answered request %q", e.ID, a.ID)
+		return nil, errUnknown.New("endpoint %s sent the answer to request %q", e.ID, a.ID)
 	}
 	return a, nil
 }
 
-// setBody gives the request its body. Only a repeatable one can be rewound:
-// net/http sends a request again by itself when a kept connection proves dead
-// and the body can be rewound or is absent, which would run it twice.
+// setBody sets the request's body. Only the body of a retryable request can be
+// rewound: net/http itself resends a request on a kept connection that turns out to
+// be dead if the body can be rewound or is absent, which would run it twice.
 func setBody(out *http.Request, req *request) {
 	out.ContentLength = int64(len(req.body))
 	if !req.route.Repeatable() {
-		out.Body = io.NopCloser(onceReader{bytes.NewReader(req.body)})
+		out.Body = io.NopCloser(nonRewindableReader{bytes.NewReader(req.body)})
 		return
 	}
 	if len(req.body) == 0 {
@@ -77,5 +78,6 @@
 	out.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(req.body)), nil }
 }
 
-// onceReader hides that its reader can be rewound.
-type onceReader struct{ io.Reader }
+// nonRewindableReader hides the concrete type of its reader, by which net/http would
+// recognize a body that can be rewound.
+type nonRewindableReader struct{ io.Reader }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -10,189 +10,196 @@
 )
 
 const (
-	// reasonStopping is the reason of requests that a planned stop refuses or ends.
+	// reasonStopping is the reason of requests that a shutdown refuses or ends.
 	reasonStopping = "stopping"
-	// unreadyAnswers is how many answers other than 200 in a row take a process
-	// out of the balancer's rotation.
-	unreadyAnswers = 2
-	// elsewhereRetry is when a client may come back that finds another gateway:
-	// at once, but not in step with all others.
-	elsewhereRetry = 50 * time.Millisecond
-	// lateMargin multiplies the need of what comes when the balancer no longer
-	// sends clients here. Of 1,143 streams that stopping gateways took by the
-	// estimate alone, 99 lasted longer than estimated, 11 twice and one three
-	// times as long: load moves to fewer gateways, and 13 were cut. Before that
-	// time the estimate alone decides: a client that the balancer sends has no
-	// better place to go to, and refusing it costs more than one stream in a hundred.
-	lateMargin = 3
-	// restartTime is what a stopped process takes to be back, started anew and
-	// with a view: 0.6 to 0.9 s on the users' VMs.
+	// unreadyThreshold is the number of consecutive readiness probes answered with other
+	// than 200 after which the load balancer takes a process out of rotation.
+	unreadyThreshold = 2
+	// otherGatewayRetryAfter is the Retry-After of a client that can reach another
+	// gateway: almost at once, but not in step with all other clients.
+	otherGatewayRetryAfter = 50 * time.Millisecond
+	// outOfRotationMargin multiplies the estimated duration of requests that arrive
+	// after the load balancer has taken the process out of rotation. Of 1,143 streams
+	// that stopping gateways admitted by the estimate alone, 99 lasted longer than
+	// estimated, 11 twice and one three times as long, because load moves to fewer
+	// gateways; 13 were cut. Before that point the estimate alone decides: a client that
+	// the load balancer sends here has no better place to go, and refusing it costs more
+	// than cutting one stream in a hundred.
+	outOfRotationMargin = 3
+	// restartTime is the time from the end of a process to its successor being ready
+	// with a view: 0.6 to 0.9 s were measured.
 	restartTime = time.Second
 )
 
-// errStopping is the cause with which a planned stop ends a request.
-var errStopping = errs.NewType("stopping").New("the process stops")
+// errShutdown is the cancellation cause of requests that a shutdown ends.
+var errShutdown = errs.NewType("stopping").New("the process is shutting down")
 
-// planned is a planned stop of the process. All requests have an end by its
-// end: they are answered, or told that they are given up.
+// shutdown is the graceful shutdown of the process. By its deadline every request has
+// ended: it was answered, or its client was told that it is given up.
 //
-// The failure that it guards against: a client uses an old connection again
-// seconds after SIGTERM; its stream outlasts the grace and is cut with the
-// process, in the middle, without an answer and without a log line. A request
-// is therefore taken, and its engine called, only while what is left of the
-// grace suffices for the longest of the latest requests of its route.
-type planned struct {
-	// begun ends when the stop begins; at and end are set before.
-	begun context.Context
-	begin context.CancelFunc
-	at    time.Time
-	end   time.Time
-
-	// outOfRotation is set once the balancer sends no more clients here.
+// The failure that it guards against: a client reuses a kept connection seconds after
+// SIGTERM; its stream outlasts the grace period and is cut when the process ends,
+// without an answer and without a log line. A request is therefore admitted, and its
+// engine called, only while the rest of the grace period is sufficient for the longest
+// of the latest requests of its route.
+type shutdown struct {
+	// started is cancelled when the shutdown begins; startedAt and deadline are set
+	// before.
+	started   context.Context
+	start     context.CancelFunc
+	startedAt time.Time
+	deadline  time.Time
+
+	// outOfRotation is true once the load balancer sends no more new connections here.
 	outOfRotation atomic.Bool
 
-	mu      sync.Mutex
-	unready int
-	// noticed is closed when the balancer has taken the process out of rotation.
-	noticed chan struct{}
+	mu sync.Mutex
+	// unreadyProbes counts the readiness probes that were answered with not ready.
+	unreadyProbes int
+	// unreadyObserved is closed when unreadyProbes reaches unreadyThreshold.
+	unreadyObserved chan struct{}
 }
 
-func newPlanned() *planned {
-	begun, begin := context.WithCancel(context.Background())
-	return &planned{begun: begun, begin: begin, noticed: make(chan struct{})}
+func newShutdown() *shutdown {
+	started, start := context.WithCancel(context.Background())
+	return &shutdown{started: started, start: start, unreadyObserved: make(chan struct{})}
 }
 
-// leave begins the stop; all requests end by end.
-func (p *planned) leave(now, end time.Time) {
-	p.at, p.end = now, end
-	p.begin()
+// begin starts the shutdown; all requests end by the deadline.
+func (s *shutdown) begin(now, deadline time.Time) {
+	s.startedAt, s.deadline = now, deadline
+	s.start()
 }
 
-// stopping tells whether the stop has begun.
-func (p *planned) stopping() bool { return p.begun.Err() != nil }
+// stopping reports whether the shutdown has begun.
+func (s *shutdown) stopping() bool { return s.started.Err() != nil }
 
-// left is the time until the end of the stop; ok is false before its begin.
-func (p *planned) left(now time.Time) (left time.Duration, ok bool) {
-	if !p.stopping() {
+// remaining returns the time until the shutdown's deadline; ok is false if it has not
+// begun.
+func (s *shutdown) remaining(now time.Time) (left time.Duration, ok bool) {
+	if !s.stopping() {
 		return 0, false
 	}
-	return p.end.Sub(now), true
+	return s.deadline.Sub(now), true
 }
 
-// answeredUnready counts the balancer's questions that were answered with no.
-func (p *planned) answeredUnready() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.unready++
-	if p.unready == unreadyAnswers {
-		close(p.noticed)
+// countUnreadyProbe counts a readiness probe that was answered with not ready.
+func (s *shutdown) countUnreadyProbe() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unreadyProbes++
+	if s.unreadyProbes == unreadyThreshold {
+		close(s.unreadyObserved)
 	}
 }
 
-// until returns a context that ends with errStopping as its cause once the
-// stop has begun and leaves less than need.
-func (p *planned) until(parent context.Context, need time.Duration) (context.Context, context.CancelFunc) {
+// boundContext returns a context that is cancelled with the cause errShutdown once
+// the shutdown has begun and less than need is left until its deadline.
+func (s *shutdown) boundContext(parent context.Context, need time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	unhook := context.AfterFunc(p.begun, func() {
-		timer := time.AfterFunc(time.Until(p.end.Add(-need)), func() { cancel(errStopping) })
+	stopWatch := context.AfterFunc(s.started, func() {
+		timer := time.AfterFunc(time.Until(s.deadline.Add(-need)), func() { cancel(errShutdown) })
 		context.AfterFunc(ctx, func() { timer.Stop() })
 	})
 	return ctx, func() {
-		unhook()
+		stopWatch()
 		cancel(context.Canceled)
 	}
 }
 
-// endedByStop tells whether the planned stop ended the context.
-func endedByStop(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errStopping) }
+// cancelledByShutdown reports whether the shutdown ended the context.
+func cancelledByShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
 
-// Leave makes the process unready, lets clients open new connections elsewhere
-// and takes only what ends before end, by which all requests have an answer.
-func (g *Gateway) Leave(end time.Time) { g.planned.leave(time.Now(), end) }
+// Leave begins the shutdown: the process becomes unready, asks clients to open new
+// connections elsewhere, and admits only requests that are expected to end before
+// end, by which every request has an answer.
+func (g *Gateway) Leave(end time.Time) { g.shutdown.begin(time.Now(), end) }
 
-// Noticed is closed when the balancer has been told often enough that the
-// process is not ready to send new connections elsewhere.
-func (g *Gateway) Noticed() <-chan struct{} { return g.planned.noticed }
+// Noticed returns a channel that is closed when enough readiness probes have been
+// answered with not ready for the load balancer to send new connections elsewhere.
+func (g *Gateway) Noticed() <-chan struct{} { return g.shutdown.unreadyObserved }
 
-// OutOfRotation notes that no client is sent here any more by the balancer's
-// own choice: what still comes uses an old connection, or finds no gateway that
-// stays, and is taken only if it will surely end in time.
-func (g *Gateway) OutOfRotation() { g.planned.outOfRotation.Store(true) }
+// OutOfRotation records that the load balancer no longer chooses this process. A
+// request that still arrives uses a kept connection or finds no gateway that stays,
+// and is admitted only with a margin over its estimated duration.
+func (g *Gateway) OutOfRotation() { g.shutdown.outOfRotation.Store(true) }
 
-// InFlight is the number of requests that have no whole answer yet.
+// InFlight returns the number of requests that have not been answered completely.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Ready answers the balancer's question whether to send new connections here.
+// Ready serves the load balancer's readiness probe.
 func (g *Gateway) Ready(w http.ResponseWriter, _ *http.Request) {
-	stopping := g.planned.stopping()
+	stopping := g.shutdown.stopping()
 	if stopping || !g.cfg.View().Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	} else {
 		w.WriteHeader(http.StatusOK)
 	}
 	if stopping {
-		g.planned.answeredUnready()
+		g.shutdown.countUnreadyProbe()
 	}
 }
 
-// need is how long the request will last at most, and the part of it after the
-// choice of its engine. A request of a route that none was served of yet may
-// use all of its time.
-func (g *Gateway) need(req *request) (whole, engine time.Duration) {
-	whole, engine, ok := g.paces.need(req.route.Name, req.TokensOut)
+// estimateDuration returns upper estimates of a request's whole duration and of the
+// part after the choice of its engine. Neither exceeds the request's remaining time,
+// which is also the estimate for a route without samples.
+func (g *Gateway) estimateDuration(req *request) (whole, engine time.Duration) {
+	whole, engine, ok := g.durationEstimator.estimateDuration(req.route.Name, req.TokensOut)
 	if !ok {
-		return req.left(), req.left()
+		return req.remaining(), req.remaining()
 	}
-	if g.planned.outOfRotation.Load() {
-		whole *= lateMargin
-		engine *= lateMargin
+	if g.shutdown.outOfRotation.Load() {
+		whole *= outOfRotationMargin
+		engine *= outOfRotationMargin
 	}
-	return min(whole, req.left()), min(engine, req.left())
+	return min(whole, req.remaining()), min(engine, req.remaining())
 }
 
-// takeWhileStopping refuses what a stopping process cannot end in time. earlier
-// is the number of requests that came before on the connection: one that was
-// kept open leads past the balancer.
-func (g *Gateway) takeWhileStopping(req *request, earlier int64) *problem {
-	left, stopping := g.planned.left(req.arrived)
+// admitDuringShutdown refuses a request that is not expected to end before the
+// shutdown does. earlier is the number of requests that came before on the same
+// connection: a kept connection bypasses the load balancer's choice.
+func (g *Gateway) admitDuringShutdown(req *request, earlier int64) *problem {
+	left, stopping := g.shutdown.remaining(req.arrived)
 	if !stopping {
 		return nil
 	}
-	need, _ := g.need(req)
-	taken := need <= left
-	g.cfg.Log.Info().Str("event", logTakenLate).Str("request", req.ID).Str("route", routeName(req)).
-		Dur("stopping_ms", req.arrived.Sub(g.planned.at)).Int64("earlier_on_connection", earlier).
-		Dur("need_ms", need).Dur("left_ms", left).Bool("taken", taken).Msg("request came while stopping")
-	if taken {
+	estimate, _ := g.estimateDuration(req)
+	admitted := estimate <= left
+	g.cfg.Log.Info().Str("event", logArrivedDuringShutdown).Str("request", req.ID).Str("route", routeName(req)).
+		Dur("stopping_ms", req.arrived.Sub(g.shutdown.startedAt)).Int64("earlier_on_connection", earlier).
+		Dur("need_ms", estimate).Dur("left_ms", left).Bool("taken", admitted).Msg("request arrived during shutdown")
+	if admitted {
 		return nil
 	}
-	return unavailable(reasonStopping, g.elsewhere(left))
+	return unavailable(reasonStopping, g.shutdownRetryAfter(left))
 }
 
-// fits tells whether a send that begins now will end before the stop does; left
-// is the time until then. A body that comes slowly, or a send that has failed,
-// may have used up what was left when the request came.
-func (g *Gateway) fits(req *request) (left time.Duration, ok bool) {
-	left, stopping := g.planned.left(time.Now())
+// finishesBeforeShutdown reports whether a send that begins now is expected to end
+// before the shutdown does, and the time left until then. It is checked before each
+// send because a slow body or a failed send may have used up the time that was left
+// on arrival.
+func (g *Gateway) finishesBeforeShutdown(req *request) (left time.Duration, ok bool) {
+	left, stopping := g.shutdown.remaining(time.Now())
 	if !stopping {
 		return 0, true
 	}
-	_, need := g.need(req)
-	return left, need <= left
+	_, estimate := g.estimateDuration(req)
+	return left, estimate <= left
 }
 
-// refuseUnfit ends a request whose next send would be cut by the stop.
-func (g *Gateway) refuseUnfit(req *request) *problem {
-	if left, ok := g.fits(req); !ok {
-		return ended(req, reasonStopping, g.elsewhere(left))
+// refuseIfCutByShutdown gives up a request whose next send the shutdown would cut.
+func (g *Gateway) refuseIfCutByShutdown(req *request) *problem {
+	if left, ok := g.finishesBeforeShutdown(req); !ok {
+		return giveUp(req, reasonStopping, g.shutdownRetryAfter(left))
 	}
 	return nil
 }
 
-// elsewhere is when a client may come back whose request the stop refuses.
-func (g *Gateway) elsewhere(left time.Duration) time.Duration {
+// shutdownRetryAfter returns the Retry-After of a request that the shutdown refuses;
+// left is the time until the shutdown ends.
+func (g *Gateway) shutdownRetryAfter(left time.Duration) time.Duration {
 	if g.cfg.OthersStay() {
-		return elsewhereRetry
+		return otherGatewayRetryAfter
 	}
 	return max(0, left) + restartTime
 }
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -16,8 +16,9 @@
 	"github.com/mangostage/mangostage/platform/standin"
 )
 
-// silent answers nothing until its caller has left.
-func silent(called chan<- struct{}) http.HandlerFunc {
+// hangUntilCallerLeaves returns a handler that closes called and answers nothing until
+// its caller has left.
+func hangUntilCallerLeaves(called chan<- struct{}) http.HandlerFunc {
 	return func(_ http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
 		close(called)
@@ -25,13 +26,13 @@
 	}
 }
 
-// A workshop order is at an endpoint that says nothing when the planned stop
-// ends. The process must not go with the order's connection open: the client
-// is told that the order may have run, and support finds a line for it.
-func TestStopAnswersWhatMayHaveRun(t *testing.T) {
+// An endpoint has not answered a request when the shutdown ends. The process must not
+// end with the client's connection open: the client is told that the request may have
+// run, and support finds a log line for it.
+func TestShutdownAnswersRequestThatMayHaveRun(t *testing.T) {
 	r := newRig(t)
 	called := make(chan struct{})
-	r.add("plain", "i-1", serve(t, silent(called)))
+	r.add("plain", "i-1", serve(t, hangUntilCallerLeaves(called)))
 	go func() {
 		<-called
 		r.gateway.Leave(time.Now().Add(100 * time.Millisecond))
@@ -41,18 +42,18 @@
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusBadGateway)
 	assert.Assert(t, time.Since(began) < time.Second)
-	testwait.For(t, patience, func() bool { return r.gateway.InFlight() == 0 })
-	r.logs.has(t, `"event":"answered"`, `"may_have_run":true`)
+	testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 0 })
+	r.logs.waitForLine(t, `"event":"answered"`, `"may_have_run":true`)
 }
 
-// A chat is in the middle of its stream when the planned stop ends. It cannot
-// go on elsewhere, so it is broken off; the log says that the stop did it.
-func TestStopBreaksOffWhatStillStreams(t *testing.T) {
+// A stream is running when the shutdown ends. It is not resumable, so it is aborted,
+// and the log says that the shutdown did it.
+func TestShutdownAbortsRunningStream(t *testing.T) {
 	r := newRig(t)
 	sent := make(chan struct{})
 	release := make(chan struct{})
 	defer close(release)
-	r.endpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
+	r.startEndpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		standin.Events(w, 1, 2)
 		close(sent)
@@ -63,48 +64,48 @@
 		r.gateway.Leave(time.Now().Add(100 * time.Millisecond))
 	}()
 	got := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
-	assert.Assert(t, got.err != nil, "a stream that ends early must not look whole")
-	testwait.For(t, patience, func() bool { return r.gateway.InFlight() == 0 })
-	r.logs.has(t, `"event":"answered"`, `"broken_off"`, `"stopping":true`)
+	assert.Assert(t, got.err != nil, "a stream that ends early must not look complete")
+	testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 0 })
+	r.logs.waitForLine(t, `"event":"answered"`, `"broken_off"`, `"stopping":true`)
 }
 
-// Streams of 400 ms are usual on a route. A stopping process takes them as long
-// as they fit, and refuses them from then on, without any engine seeing them.
-func TestStopTakesWhatFits(t *testing.T) {
+// A route's streams usually take 400 ms. A process that shuts down admits them while
+// they can finish in time, and then refuses them without calling any engine.
+func TestShutdownAdmitsRequestsThatFinishInTime(t *testing.T) {
 	r := newRig(t)
-	engine := r.endpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
+	engine := r.startEndpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		standin.Events(w, 1, 1)
 		<-time.After(400 * time.Millisecond)
 		standin.Events(w, 2, 2)
 	})
-	ask := func() answered { return r.do(r.request(http.MethodPost, "/stream/", "prompt")) }
-	assert.Equal(t, ask().body, pieces(2))
-	end := time.Now().Add(stopTime)
+	ask := func() clientResult { return r.do(r.request(http.MethodPost, "/stream/", "prompt")) }
+	assert.Equal(t, ask().body, streamBody(2))
+	end := time.Now().Add(shutdownTime)
 	r.gateway.Leave(end)
-	taken := 0
+	admitted := 0
 	got := ask()
 	for ; got.status == http.StatusOK; got = ask() {
 		assert.NilError(t, got.err)
-		assert.Equal(t, got.body, pieces(2), "what was taken is answered whole")
-		taken++
+		assert.Equal(t, got.body, streamBody(2), "an admitted request is answered completely")
+		admitted++
 	}
-	assert.Assert(t, taken >= 1, "the first one fits")
-	assert.Assert(t, time.Now().Before(end), "refused at once, not at the end of the stop")
+	assert.Assert(t, admitted >= 1, "the first request finishes in time")
+	assert.Assert(t, time.Now().Before(end), "refused at once, not at the end of the shutdown")
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
-	assert.Equal(t, len(engine.Runs()), 1+taken)
-	r.logs.has(t, `"event":"taken_while_stopping"`, `"taken":false`)
+	assert.Equal(t, len(engine.Runs()), 1+admitted)
+	r.logs.waitForLine(t, `"event":"taken_while_stopping"`, `"taken":false`)
 }
 
-// A customer's order is half sent when the gateway is stopped, and its body is
-// whole only just before the end. Nobody asks again whether the order can end
-// in time: it goes to its endpoint, is cut with the process, and the customer
-// cannot tell whether it was placed.
-func TestStopSendsNothingLateThatCannotEnd(t *testing.T) {
+// A request is half sent when the shutdown begins, and its body is complete only
+// shortly before the end. Guards against sending it to an endpoint without checking
+// again that it can finish: it would be cut with the process, and the client could not
+// tell whether it has run.
+func TestShutdownDoesNotSendLateBody(t *testing.T) {
 	const usual, grace = 300 * time.Millisecond, 400 * time.Millisecond
 	r := newRig(t)
-	engine := r.endpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
+	engine := r.startEndpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) {
 		<-time.After(usual)
 		standin.Seal(w)
 		_, _ = io.WriteString(w, "placed")
@@ -115,7 +116,7 @@
 	req.Body, req.ContentLength = body, 2
 	go func() {
 		_, _ = rest.Write([]byte("o"))
-		testwait.For(t, patience, func() bool { return r.gateway.InFlight() == 1 })
+		testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 1 })
 		r.gateway.Leave(time.Now().Add(grace))
 		<-time.After(grace / 2)
 		_, _ = rest.Write([]byte("r"))
@@ -124,13 +125,13 @@
 	got := r.do(req)
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
-	assert.Equal(t, len(engine.Runs()), 1, "no endpoint gets what cannot end in time")
+	assert.Equal(t, len(engine.Runs()), 1, "a request that cannot finish in time reaches no endpoint")
 }
 
-// An endpoint fails a request that may be repeated, shortly before the end of
-// a planned stop. A second endpoint would need longer than is left: its work
-// would be cut, so the client gets the failure at once.
-func TestStopRepeatsNothingThatCannotEnd(t *testing.T) {
+// An endpoint fails a retryable request shortly before the shutdown ends. A second
+// endpoint would need more time than is left and would be cut, so the client gets the
+// error at once.
+func TestShutdownDoesNotRetryWithoutTime(t *testing.T) {
 	const usual, grace = 300 * time.Millisecond, 500 * time.Millisecond
 	r := newRig(t)
 	var runs atomic.Int64
@@ -142,9 +143,9 @@
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	}
-	r.endpoint("plain", "i-1", answer)
+	r.startEndpoint("plain", "i-1", answer)
 	assert.Equal(t, r.do(r.request(http.MethodGet, "/idem/", "")).status, http.StatusOK)
-	r.endpoint("plain", "i-2", answer)
+	r.startEndpoint("plain", "i-2", answer)
 	r.gateway.Leave(time.Now().Add(grace))
 	got := r.do(r.request(http.MethodGet, "/idem/", ""))
 	assert.NilError(t, got.err)
@@ -152,13 +153,13 @@
 	assert.Equal(t, runs.Load(), int64(2))
 }
 
-// A client has sent half of its request when the planned stop ends, or when its
-// own time does. It gets an answer, which says that the request has not run,
-// and not just the end of its connection.
-func TestHalfSentRequestGetsAnAnswer(t *testing.T) {
+// A client has sent half of its request when the shutdown ends or its deadline passes.
+// It gets an answer, which says that the request has not run, and not only the end of
+// its connection.
+func TestPartialBodyGetsAnAnswer(t *testing.T) {
 	for _, stop := range []bool{true, false} {
 		r := newRig(t)
-		engine := r.endpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) { standin.Seal(w) })
+		engine := r.startEndpoint("plain", "i-1", func(w http.ResponseWriter, _ standin.Run) { standin.Seal(w) })
 		conn, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 		assert.NilError(t, err)
 		assert.NilError(t, conn.SetDeadline(time.Now().Add(2*time.Second)))
@@ -166,7 +167,7 @@
 			"Mangostage-Attempt-Id: half\r\nMangostage-Deadline-Ms: 500\r\nContent-Length: 9\r\n\r\nhalf")
 		assert.NilError(t, err)
 		if stop {
-			testwait.For(t, patience, func() bool { return r.gateway.InFlight() == 1 })
+			testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 1 })
 			r.gateway.Leave(time.Now().Add(100 * time.Millisecond))
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -175,18 +176,18 @@
 		assert.Assert(t, resp.Header.Get("Retry-After") != "")
 		assert.NilError(t, resp.Body.Close())
 		assert.NilError(t, conn.Close())
-		testwait.For(t, patience, func() bool { return r.gateway.InFlight() == 0 })
+		testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 0 })
 		assert.Equal(t, len(engine.Runs()), 0)
 	}
 }
 
-// The engines of a route fail at once for a while. A stopping process must not
-// take from these quick failures that streams of the route are short.
-func TestFailuresSayNothingOfHowLongStreamsLast(t *testing.T) {
+// A route's engines fail at once for a while. A process that shuts down must not
+// conclude from these quick failures that the route's streams are short.
+func TestFailuresDoNotShortenDurationEstimates(t *testing.T) {
 	const usual, grace = 300 * time.Millisecond, 200 * time.Millisecond
 	r := newRig(t)
 	var failing atomic.Bool
-	engine := r.endpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
+	engine := r.startEndpoint("model", "m-1", func(w http.ResponseWriter, _ standin.Run) {
 		standin.Seal(w)
 		if failing.Load() {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -196,7 +197,7 @@
 		<-time.After(usual)
 		standin.Events(w, 2, 2)
 	})
-	ask := func() answered { return r.do(r.request(http.MethodPost, "/stream/", "prompt")) }
+	ask := func() clientResult { return r.do(r.request(http.MethodPost, "/stream/", "prompt")) }
 	assert.Equal(t, ask().status, http.StatusOK)
 	failing.Store(true)
 	for range 40 {
--- a/gateway/transport.go
+++ b/gateway/transport.go
@@ -12,53 +12,52 @@
 )
 
 const (
-	// idleTimeout is how long a connection to an endpoint is kept unused.
+	// idleTimeout is how long an unused connection to an endpoint is kept.
 	idleTimeout = 4 * time.Second
-	// maxIdlePerHost bounds the kept connections to one endpoint.
+	// maxIdlePerHost bounds the idle connections to one endpoint.
 	maxIdlePerHost = 16
-	// maxAnswerHeader bounds the header of an endpoint's answer in bytes.
+	// maxAnswerHeader limits the header of an endpoint's response, in bytes.
 	maxAnswerHeader = 64 << 10
 )
 
-// endpointLimits: an endpoint that is cut off does not answer a new connection
-// at all, the others do in milliseconds. Two seconds without an
-// acknowledgement are many times what a lossy link needs.
+// endpointLimits limits connections to endpoints. An endpoint that is partitioned
+// does not answer a new connection at all, the others do so in milliseconds. Two
+// seconds without an acknowledgement are many times what a lossy link needs.
 var endpointLimits = dialer.Limits{
 	Dial:           600 * time.Millisecond,
 	Unacknowledged: 2 * time.Second,
 	Probe:          2 * time.Second,
 }
 
-// Transport carries requests to endpoints. It knows when its connections were
-// opened, and ends those to processes that are no more.
+// Transport carries requests to endpoints. It tracks when its connections were
+// opened and closes those to processes that have ended.
 //
 // The failure that it guards against: an endpoint crashes behind a partition and
-// starts again under its ID and address. No end of the old connections is seen,
-// so requests under way wait until their deadline, and the next ones are sent
-// over kept connections to the process that has ended.
+// restarts under its ID and address. The end of the old connections is not seen, so
+// requests in flight wait until their deadline, and new ones are sent over kept
+// connections to the process that has ended.
 type Transport struct {
 	*http.Transport
-	// Check, if it is set, is called before each request and returns when a
-	// pause of this process, if there was one, has been dealt with.
+	// Check, if set, is called before each request. It returns once a pause of this
+	// process, if there was one, has been handled, which closes the idle connections.
 	//
-	// It guards against kept connections that died while the process stood
-	// still: a request that may run once only and goes out on one has an unknown
-	// fate, and its client waits for nothing until its deadline. Dealing with the
-	// pause closes the connections that are idle.
+	// It guards against kept connections that died while the process was paused: a
+	// request that must not be retried and is sent over such a connection may or may
+	// not have run, and its client waits without an answer until its deadline.
 	Check func()
 
 	mu    sync.Mutex
 	conns map[*endpointConn]struct{}
-	// listed is the endpoint at each address, as of the last view.
-	listed map[string]*catalog.Endpoint
+	// endpointsByAddr holds the endpoint listed at each address in the latest view.
+	endpointsByAddr map[string]*catalog.Endpoint
 }
 
 // endpointConn is a connection to an endpoint.
 type endpointConn struct {
 	net.Conn
 	transport *Transport
-	// endpoint was listed at the address when the connection was opened; nil if
-	// none was.
+	// endpoint is the one listed at the address when the connection was opened; nil if
+	// there was none.
 	endpoint *catalog.Endpoint
 	opened   time.Time
 }
@@ -71,20 +70,20 @@
 	return c.Conn.Close()
 }
 
-// outlived tells whether the process at the other end has ended: another one
+// isStale reports whether the process at the other end has ended: another one
 // serves under its ID and started after the connection was opened. A younger
-// connection leads to the new process already, although the old one was listed
-// when it was opened: most ends of a process are seen by its connections at
-// once, so the requests still under way are mostly on such. Another ID at the
-// same address says nothing: an endpoint that has left may finish what it has.
-func (c *endpointConn) outlived(view *catalog.View) bool {
+// connection leads to the new process already, although the old one was listed when
+// it was opened: the connections of a process usually see its end at once, so that
+// most requests in flight are on such connections. Another ID at the same address
+// proves nothing: an endpoint that has left the list may still finish its requests.
+func (c *endpointConn) isStale(view *catalog.View) bool {
 	if c.endpoint == nil || !view.Replaced(c.endpoint.ID, c.endpoint.Incarnation) {
 		return false
 	}
 	return c.opened.Before(view.Present(c.endpoint.ID).Incarnation.Time())
 }
 
-// dial opens a connection and notes when, and to whom.
+// dial opens a connection and registers it with the endpoint listed at its address.
 func (t *Transport) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := endpointLimits.DialContext(ctx, network, addr)
 	if err != nil {
@@ -92,13 +91,13 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := &endpointConn{Conn: conn, transport: t, endpoint: t.listed[addr], opened: time.Now()}
+	c := &endpointConn{Conn: conn, transport: t, endpoint: t.endpointsByAddr[addr], opened: time.Now()}
 	t.conns[c] = struct{}{}
 	return c, nil
 }
 
-// SetView takes the endpoints that are listed now and ends the connections to
-// processes that have ended. Requests on them end as broken: they may have run.
+// SetView sets the listed endpoints and closes the connections to processes that
+// have ended. Requests on them fail as broken, since they may have run.
 func (t *Transport) SetView(view *catalog.View) {
 	listed := make(map[string]*catalog.Endpoint, view.Len())
 	for e := range view.All() {
@@ -106,9 +105,9 @@
 	}
 	var ended []*endpointConn
 	t.mu.Lock()
-	t.listed = listed
+	t.endpointsByAddr = listed
 	for c := range t.conns {
-		if c.outlived(view) {
+		if c.isStale(view) {
 			ended = append(ended, c)
 		}
 	}
@@ -118,8 +117,9 @@
 	}
 }
 
-// NewTransport returns the transport to endpoints. It follows no proxy of the
-// environment and asks for no encoding, since answers are relayed as they are.
+// NewTransport returns the transport to endpoints. It ignores the proxy settings of
+// the environment and requests no content encoding, since answers are relayed
+// unchanged.
 func NewTransport() *Transport {
 	t := &Transport{conns: make(map[*endpointConn]struct{})}
 	t.Transport = &http.Transport{
