--- a/suspect/content.go
+++ b/suspect/content.go
@@ -5,73 +5,79 @@
 	"time"
 )
 
-// content is what is known of one content.
-type content struct {
-	// running is the number of this entry's runs without an end.
+// contentState is what a table knows about one content.
+type contentState struct {
+	// running is the number of this entry's runs that have not ended.
 	running int
-	epoch   uint64
-	// counts holds the crashes in the epoch.
-	counts map[place]*placeCount
-	// convictedUntil is zero if the content was never convicted.
-	convictedUntil time.Time
-	// listed: the shard counts it among its suspects.
-	listed bool
+	// epoch grows each time a success clears the content.
+	epoch uint64
+	// counts holds the crashes in the current epoch.
+	counts map[countKey]*crashCount
+	// quarantinedUntil is zero if the content was not quarantined since it was last cleared
+	// or last expired.
+	quarantinedUntil time.Time
+	// isSuspect is true if the shard counts the content among its suspects.
+	isSuspect bool
 }
 
-// place is an endpoint as seen by an entry. The endpoint is empty in the
-// count that only tells of an epoch.
-type place struct {
+// countKey names an endpoint as observed by an entry. The endpoint is empty in the
+// count that only announces a new epoch.
+type countKey struct {
 	entry    string
 	endpoint string
 }
 
-// placeCount is the crashes that one entry saw of one endpoint.
-type placeCount struct {
+// crashCount counts the crashes of one endpoint that one entry observed.
+type crashCount struct {
+	// alone counts the crashes without companions, shared those with companions.
 	alone  int
 	shared int
-	// with holds the companions of every shared crash, if known.
-	with  []string
-	known bool
+	// companions holds the keys of the content that was present at every shared crash, if
+	// companionsKnown.
+	companions      []string
+	companionsKnown bool
 	// at is the time of the latest crash, or of the success that began the epoch.
 	at time.Time
 }
 
-func (n *placeCount) total() int { return n.alone + n.shared }
+// total returns the number of crashes.
+func (n *crashCount) total() int { return n.alone + n.shared }
 
-// verdict judges whether one more run may begin.
+// decide decides whether and how one more run may begin.
 //
-// Copies of suspect content are kept few, because each of them may crash an
-// endpoint before the others' crashes are known: a caller who sends the same
-// request fifty times at once would otherwise take fifty endpoints down.
-func (c *content) verdict(limit int, now time.Time) Verdict {
-	if now.Before(c.convictedUntil) {
-		return Verdict{Refuse: true, RetryAfter: c.convictedUntil.Sub(now)}
+// Concurrent runs of suspect content are limited, because each of them may crash an
+// endpoint before the crashes of the others are known: a client that sends the same
+// request fifty times at once would otherwise crash fifty endpoints.
+func (c *contentState) decide(limit int, now time.Time) Verdict {
+	if now.Before(c.quarantinedUntil) {
+		return Verdict{Refuse: true, RetryAfter: c.quarantinedUntil.Sub(now)}
 	}
-	crashes := c.crashes()
+	crashes := c.totalCrashes()
 	if crashes == 0 {
 		return Verdict{}
 	}
 	if c.running > 0 && c.running+crashes >= limit {
-		return Verdict{Refuse: true, RetryAfter: busyRetry}
+		return Verdict{Refuse: true, RetryAfter: copiesRetryAfter}
 	}
 	return Verdict{Alone: true}
 }
 
-func (c *content) crashes() int {
-	alone, shared := c.sum()
+// totalCrashes returns the number of crashes in the current epoch.
+func (c *contentState) totalCrashes() int {
+	alone, shared := c.sumCrashes()
 	return alone + shared
 }
 
-// sum returns the crashes of all endpoints without and with companions. A
-// crash with companions may have been seen by several entries with copies of
-// the content on the endpoint, so of their counts the highest stands: added
-// up, they would convict popular content for one crash that it did not cause.
-// A crash without companions was seen by one.
-func (c *content) sum() (alone, shared int) {
+// sumCrashes returns the crashes of all endpoints without and with companions.
+// Several entries with copies of the content on an endpoint may have observed the same
+// crash with companions, so the highest of their counts is used: their sum would
+// quarantine popular content for one crash that it did not cause. A crash without
+// companions was observed by one entry only.
+func (c *contentState) sumCrashes() (alone, shared int) {
 	highest := make(map[string]int)
-	for at, n := range c.counts {
+	for key, n := range c.counts {
 		alone += n.alone
-		highest[at.endpoint] = max(highest[at.endpoint], n.shared)
+		highest[key.endpoint] = max(highest[key.endpoint], n.shared)
 	}
 	for _, n := range highest {
 		shared += n
@@ -79,175 +85,180 @@
 	return alone, shared
 }
 
-// crashed counts a crash seen by the entry itself.
-func (c *content) crashed(entry, key string, limit int, crash Crash, now time.Time) {
-	others := slices.DeleteFunc(slices.Clone(crash.With), func(other string) bool { return other == key })
-	onlyCopies := len(crash.With) > 0 && len(crash.With) == crash.Companions && len(others) == 0
-	n := c.count(place{entry: entry, endpoint: crash.Endpoint})
-	repeated := n.total() > 0 && now.Sub(n.at) < sameCrash
+// recordCrash counts a crash that this entry observed.
+func (c *contentState) recordCrash(entry, key string, limit int, crash Crash, now time.Time) {
+	others := slices.DeleteFunc(slices.Clone(crash.CompanionKeys), func(other string) bool { return other == key })
+	onlyCopies := len(crash.CompanionKeys) > 0 && len(crash.CompanionKeys) == crash.Companions && len(others) == 0
+	n := c.countFor(countKey{entry: entry, endpoint: crash.Endpoint})
+	repeated := n.total() > 0 && now.Sub(n.at) < sameCrashWindow
 	switch {
 	case crash.Companions == 0:
 		n.alone++
 	case repeated:
-		// Another copy of the content reports the crash counted already.
+		// Another copy of the content reports a crash that was already counted.
 	case onlyCopies:
 		n.alone++
 	default:
-		n.share(others)
+		n.addShared(others)
 	}
 	n.at = now
-	c.judge(limit)
+	c.evaluate(limit)
 }
 
-// share counts a crash with companions, and keeps those present each time.
-func (n *placeCount) share(others []string) {
+// addShared counts a crash with companions and keeps the companions that were present
+// at every shared crash.
+func (n *crashCount) addShared(others []string) {
 	n.shared++
-	known := len(others) > 0 && len(others) <= companionsMax
+	known := len(others) > 0 && len(others) <= maxCompanions
 	switch {
 	case n.shared == 1:
-		n.known = known
+		n.companionsKnown = known
 		if known {
-			n.with = others
+			n.companions = others
 		}
-	case n.known && known:
-		n.with = slices.DeleteFunc(slices.Clone(n.with), func(key string) bool { return !slices.Contains(others, key) })
+	case n.companionsKnown && known:
+		n.companions = slices.DeleteFunc(slices.Clone(n.companions), func(key string) bool { return !slices.Contains(others, key) })
 	default:
-		n.known, n.with = false, nil
+		n.companionsKnown, n.companions = false, nil
 	}
 }
 
-// count returns the count of a place, in the place of the oldest if there are
-// too many.
-func (c *content) count(at place) *placeCount {
-	n := c.counts[at]
+// countFor returns the count of a key. If there are too many counts, a new one
+// replaces the oldest.
+func (c *contentState) countFor(key countKey) *crashCount {
+	n := c.counts[key]
 	if n != nil {
 		return n
 	}
 	if c.counts == nil {
-		c.counts = make(map[place]*placeCount)
+		c.counts = make(map[countKey]*crashCount)
 	}
-	if len(c.counts) >= placesMax {
-		c.forgetOldest()
+	if len(c.counts) >= maxCountsPerContent {
+		c.dropOldestCount()
 	}
-	n = &placeCount{}
-	c.counts[at] = n
+	n = &crashCount{}
+	c.counts[key] = n
 	return n
 }
 
-func (c *content) forgetOldest() {
-	var oldest place
-	var found *placeCount
-	for at, n := range c.counts {
+// dropOldestCount removes the count with the oldest time.
+func (c *contentState) dropOldestCount() {
+	var oldest countKey
+	var found *crashCount
+	for key, n := range c.counts {
 		if found == nil || n.at.Before(found.at) {
-			oldest, found = at, n
+			oldest, found = key, n
 		}
 	}
 	delete(c.counts, oldest)
 }
 
-// succeeded clears the content. A conviction stands: the result is of a run
-// that began before it, and may only show that the crash is not certain.
-func (c *content) succeeded(entry string, now time.Time) {
-	if c.crashes() == 0 || now.Before(c.convictedUntil) {
+// recordSuccess clears the content's crashes and begins a new epoch. A quarantine
+// remains: the result is of a run that began before it, and may only show that the
+// content does not always crash endpoints.
+func (c *contentState) recordSuccess(entry string, now time.Time) {
+	if c.totalCrashes() == 0 || now.Before(c.quarantinedUntil) {
 		return
 	}
 	c.epoch++
 	c.counts = nil
-	c.convictedUntil = time.Time{}
-	// The empty count tells other entries of the new epoch.
-	c.count(place{entry: entry}).at = now
+	c.quarantinedUntil = time.Time{}
+	// The empty count announces the new epoch to other entries.
+	c.countFor(countKey{entry: entry}).at = now
 }
 
-// merge takes in another entry's word on a count.
-func (c *content) merge(count Count, at time.Time, limit int) {
+// merge merges a count that another entry sent.
+func (c *contentState) merge(count Count, at time.Time, limit int) {
 	if count.Epoch < c.epoch {
-		c.convict(count.Convicted, at)
+		c.quarantine(count.Quarantined, at)
 		return
 	}
-	from := place{entry: count.Entry, endpoint: count.Endpoint}
-	if c.counts[from] == nil && count.Age > newFor {
+	key := countKey{entry: count.Entry, endpoint: count.Endpoint}
+	if c.counts[key] == nil && count.Age > maxNewCountAge {
 		return
 	}
 	if count.Epoch > c.epoch {
 		c.epoch = count.Epoch
 		c.counts = nil
 	}
-	n := c.count(from)
+	n := c.countFor(key)
 	total := count.Alone + count.Shared
 	switch {
 	case total > n.total() || n.at.IsZero():
-		n.alone, n.shared, n.with, n.known, n.at = count.Alone, count.Shared, slices.Clone(count.With), count.Known, at
+		n.alone, n.shared, n.companions, n.companionsKnown, n.at = count.Alone, count.Shared, slices.Clone(count.CompanionKeys), count.CompanionsKnown, at
 	case total == n.total() && at.Before(n.at):
-		// Each hop adds its delay; without this, counts that travel in a
-		// circle would grow younger and never expire.
+		// Each hop adds its delay; without this, counts that travel in a circle would grow
+		// younger and never expire.
 		n.at = at
 	}
-	c.convict(count.Convicted, n.at)
-	c.judge(limit)
+	c.quarantine(count.Quarantined, n.at)
+	c.evaluate(limit)
 }
 
-// judge convicts the content if its crashes suffice.
-func (c *content) judge(limit int) {
-	alone, shared := c.sum()
+// evaluate quarantines the content if it has caused enough crashes.
+func (c *contentState) evaluate(limit int) {
+	alone, shared := c.sumCrashes()
 	total := alone + shared
-	proved := alone > 0 && total >= min(2, limit)
-	enough := total >= max(2, limit) && !c.accompanied()
-	c.convict(proved || enough || total >= 2*max(2, limit), c.latest())
+	crashedAlone := alone > 0 && total >= min(2, limit)
+	limitReached := total >= max(2, limit) && !c.hasCommonCompanion()
+	c.quarantine(crashedAlone || limitReached || total >= 2*max(2, limit), c.latestCrash())
 }
 
-// accompanied tells whether some other content was there at every shared
-// crash; that one may be the cause.
-func (c *content) accompanied() bool {
+// hasCommonCompanion reports whether some other content was present at every shared
+// crash; that content may be the cause.
+func (c *contentState) hasCommonCompanion() bool {
 	var common []string
 	first := true
 	for _, n := range c.counts {
 		if n.shared == 0 {
 			continue
 		}
-		if !n.known {
+		if !n.companionsKnown {
 			return false
 		}
 		if first {
-			common, first = slices.Clone(n.with), false
+			common, first = slices.Clone(n.companions), false
 			continue
 		}
-		common = slices.DeleteFunc(common, func(key string) bool { return !slices.Contains(n.with, key) })
+		common = slices.DeleteFunc(common, func(key string) bool { return !slices.Contains(n.companions, key) })
 	}
 	return len(common) > 0
 }
 
-// convict refuses the content for a time after a crash, if it is guilty.
-func (c *content) convict(guilty bool, crash time.Time) {
-	if until := crash.Add(convictedFor); guilty && until.After(c.convictedUntil) {
-		c.convictedUntil = until
+// quarantine refuses the content for quarantineDuration after the crash, if the content
+// is confirmed as the cause.
+func (c *contentState) quarantine(confirmed bool, crash time.Time) {
+	if until := crash.Add(quarantineDuration); confirmed && until.After(c.quarantinedUntil) {
+		c.quarantinedUntil = until
 	}
 }
 
-// expire drops counts that are too old.
-func (c *content) expire(now time.Time) {
-	keep := suspectFor
-	if !c.convictedUntil.IsZero() {
-		keep = relapseFor
+// expire removes counts that are too old.
+func (c *contentState) expire(now time.Time) {
+	keep := suspectDuration
+	if !c.quarantinedUntil.IsZero() {
+		keep = suspectAfterQuarantine
 	}
-	for at, n := range c.counts {
+	for key, n := range c.counts {
 		if now.Sub(n.at) > keep {
-			delete(c.counts, at)
+			delete(c.counts, key)
 		}
 	}
-	if len(c.counts) == 0 && !now.Before(c.convictedUntil) {
-		c.convictedUntil = time.Time{}
+	if len(c.counts) == 0 && !now.Before(c.quarantinedUntil) {
+		c.quarantinedUntil = time.Time{}
 	}
 }
 
-// before tells whether c is forgotten before other.
-func (c *content) before(other *content) bool {
-	if guilty := !c.convictedUntil.IsZero(); guilty != !other.convictedUntil.IsZero() {
-		return !guilty
+// evictBefore reports whether c is evicted before other.
+func (c *contentState) evictBefore(other *contentState) bool {
+	if quarantined := !c.quarantinedUntil.IsZero(); quarantined != !other.quarantinedUntil.IsZero() {
+		return !quarantined
 	}
-	return c.latest().Before(other.latest())
+	return c.latestCrash().Before(other.latestCrash())
 }
 
-func (c *content) latest() time.Time {
+// latestCrash returns the time of the latest count.
+func (c *contentState) latestCrash() time.Time {
 	var latest time.Time
 	for _, n := range c.counts {
 		if n.at.After(latest) {
--- a/suspect/outage_test.go
+++ b/suspect/outage_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutageConvictsNobody guards against a request that is refused for minutes
-// because it was lost with one endpoint, and alone with the next, in an outage
-// that took others, too.
-func TestOutageConvictsNobody(t *testing.T) {
+// TestOutageQuarantinesNothing guards against a request that is refused for minutes
+// because it was lost with one endpoint, and alone with the next, in an outage that
+// took other endpoints too.
+func TestOutageQuarantinesNothing(t *testing.T) {
 	table := New("entry-1/a", limit)
 	crashOn(table, "other", "engine-3", start, "third")
 	crashOn(table, "a", "engine-1", start, "b")
@@ -23,14 +23,14 @@
 	assert.Equal(t, table.Begin("a", now), Verdict{})
 }
 
-// TestOutageOfItsOwnMakingConvicts guards against content that is not stopped
-// because the endpoints that it crashes go one after the other.
-func TestOutageOfItsOwnMakingConvicts(t *testing.T) {
+// TestSuccessiveCrashesQuarantine guards against content that is not stopped because
+// the endpoints that it crashes are taken for an outage.
+func TestSuccessiveCrashesQuarantine(t *testing.T) {
 	for name, crash := range map[string]func(*Table){
 		"its copies":           func(table *Table) { crashOn(table, "bad", "engine-1", start, "a", "b") },
 		"with companions":      func(table *Table) { crashOn(table, "a", "engine-1", start, "bad") },
 		"unknown companions":   func(table *Table) { table.Crashed("a", Crash{Endpoint: "engine-1", Companions: 3}, start) },
-		"an old crash":         func(table *Table) { crashOn(table, "a", "engine-1", start.Add(-2*outageSpan)) },
+		"an old crash":         func(table *Table) { crashOn(table, "a", "engine-1", start.Add(-2*outageWindow)) },
 		"the same endpoint":    func(table *Table) { crashOn(table, "a", "engine-2", start) },
 		"no crash but its own": func(*Table) {},
 	} {
@@ -44,9 +44,10 @@
 	}
 }
 
-// TestCrashingRequestsDoNotCoverForEachOther guards against two requests that
-// crash endpoints at the same moments and are never stopped.
-func TestCrashingRequestsDoNotCoverForEachOther(t *testing.T) {
+// TestConcurrentCrashersAreBothQuarantined guards against two requests that crash
+// endpoints at the same times and are never stopped because each is taken for the
+// other's companion.
+func TestConcurrentCrashersAreBothQuarantined(t *testing.T) {
 	table := New("entry-1/a", limit)
 	crashes := 0
 	for i := range 50 {
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -13,20 +13,20 @@
 
 const limit = 3
 
-// crashOn lets content crash an endpoint, if the table lets it run.
+// crashOn runs content that crashes an endpoint, unless the table refuses it.
 func crashOn(t *Table, key, endpoint string, now time.Time, with ...string) Verdict {
 	v := t.Begin(key, now)
 	if !v.Refuse {
-		t.Crashed(key, Crash{Endpoint: endpoint, Companions: len(with), With: with}, now)
+		t.Crashed(key, Crash{Endpoint: endpoint, Companions: len(with), CompanionKeys: with}, now)
 	}
 	return v
 }
 
-// Story: one request kills the engine that runs it, together with seven
-// innocent ones in the batch. All eight are tried again, each alone. Seven are
-// answered and clear; the eighth kills a second engine and is refused from
-// then on, at every entry that has heard, with a time to come back.
-func TestGuiltyIsConvictedAndCompanionsAreAnswered(t *testing.T) {
+// One request crashes the engine that runs it, together with seven others in the
+// batch. All eight are retried, each alone. Seven are answered and cleared; the eighth
+// crashes a second engine and is refused from then on, with a retry delay, at every
+// entry that has received the counts.
+func TestCrashingContentIsQuarantinedAndCompanionsAreServed(t *testing.T) {
 	table := New("entry-1/a", limit)
 	batch := []string{"bad", "b", "c", "d", "e", "f", "g", "h"}
 	for _, key := range batch {
@@ -43,16 +43,16 @@
 		table.Ended(key, now)
 	}
 	assert.Equal(t, crashOn(table, "bad", "engine-2", now), Verdict{Alone: true})
-	assert.Equal(t, table.Begin("bad", now), Verdict{Refuse: true, RetryAfter: convictedFor})
+	assert.Equal(t, table.Begin("bad", now), Verdict{Refuse: true, RetryAfter: quarantineDuration})
 	other := New("entry-2/a", limit)
 	other.Merge(table.Counts(now.Add(time.Minute)), now.Add(time.Minute))
-	assert.Equal(t, other.Refused("bad", now.Add(time.Minute)), convictedFor-time.Minute)
+	assert.Equal(t, other.Refused("bad", now.Add(time.Minute)), quarantineDuration-time.Minute)
 	assert.Equal(t, other.Refused("b", now), time.Duration(0))
 }
 
-// Story: a machine dies under a single request that did nothing wrong. The
-// request is tried again on another and answered; it must not be refused.
-func TestFirstCrashAloneDoesNotConvict(t *testing.T) {
+// A machine fails while its only request is one that is not the cause. The request is
+// retried on another machine and answered; it must not be refused.
+func TestFirstCrashAloneDoesNotQuarantine(t *testing.T) {
 	table := New("entry-1/a", limit)
 	crashOn(table, "a", "engine-1", start)
 	assert.Equal(t, table.Begin("a", start), Verdict{Alone: true})
@@ -60,7 +60,7 @@
 	assert.Equal(t, table.Begin("a", start), Verdict{})
 }
 
-func TestConviction(t *testing.T) {
+func TestQuarantine(t *testing.T) {
 	tests := map[string]struct {
 		crashes func(table *Table)
 		want    bool
@@ -109,9 +109,9 @@
 	}
 }
 
-// Story: popular content has copies from three entries on an engine that
-// another request kills. All three entries count the same crash; added up
-// they would reach the limit and refuse content that did nothing.
+// Popular content has copies from three entries on an engine that another request
+// crashes. All three entries count the same crash; the sum would reach the limit and
+// refuse content that is not the cause.
 func TestOneCrashSeenByManyEntries(t *testing.T) {
 	tables := []*Table{New("entry-1/a", limit), New("entry-2/a", limit), New("entry-3/a", limit)}
 	for _, table := range tables {
@@ -125,21 +125,21 @@
 	assert.Equal(t, tables[0].Begin("popular", start), Verdict{Alone: true})
 }
 
-// Story: content crashes engines at one entry until that entry convicts it,
-// while at another, cut off, a lucky run had cleared it. When they meet again,
-// the clearance must not undo the conviction.
-func TestConvictionOutlivesClearanceElsewhere(t *testing.T) {
+// Content crashes engines at one entry until that entry quarantines it, while at
+// another, which is partitioned, a successful run has cleared it. When the entries
+// reach each other again, the clearance must not undo the quarantine.
+func TestQuarantineOutlivesRemoteClearance(t *testing.T) {
 	a, b := New("entry-1/a", limit), New("entry-2/a", limit)
 	crashOn(a, "bad", "e1", start)
 	b.Merge(a.Counts(start), start)
 	b.Begin("bad", start)
 	b.Succeeded("bad", start)
 	crashOn(a, "bad", "e2", start)
-	cleared, convicted := b.Counts(start), a.Counts(start)
+	cleared, quarantined := b.Counts(start), a.Counts(start)
 	a.Merge(cleared, start)
-	b.Merge(convicted, start)
-	assert.Equal(t, a.Refused("bad", start), convictedFor)
-	assert.Equal(t, b.Refused("bad", start), convictedFor)
+	b.Merge(quarantined, start)
+	assert.Equal(t, a.Refused("bad", start), quarantineDuration)
+	assert.Equal(t, b.Refused("bad", start), quarantineDuration)
 }
 
 func TestExpiry(t *testing.T) {
@@ -147,21 +147,21 @@
 	crashOn(table, "shared", "e1", start, "x")
 	crashOn(table, "bad", "e1", start)
 	crashOn(table, "bad", "e2", start)
-	now := start.Add(convictedFor)
+	now := start.Add(quarantineDuration)
 	assert.Equal(t, table.Refused("bad", now), time.Duration(0))
-	// Convicted content stays suspect, and one more crash convicts it again.
+	// Quarantined content stays suspect, and one more crash quarantines it again.
 	assert.Equal(t, crashOn(table, "bad", "e3", now), Verdict{Alone: true})
-	assert.Equal(t, table.Refused("bad", now), convictedFor)
+	assert.Equal(t, table.Refused("bad", now), quarantineDuration)
 	assert.Equal(t, table.Begin("shared", now.Add(time.Second)), Verdict{})
 	table.Ended("shared", now)
-	assert.Equal(t, table.Begin("bad", now.Add(relapseFor+time.Second)), Verdict{})
+	assert.Equal(t, table.Begin("bad", now.Add(suspectAfterQuarantine+time.Second)), Verdict{})
 	table.Ended("bad", now)
 	for i := range table.shards {
 		assert.Equal(t, len(table.shards[i].contents), 0)
 	}
 }
 
-// TestCountsDoNotGrowYounger sends counts in a circle with delays.
+// TestCountsDoNotGrowYounger sends counts in a circle with delays: they must expire.
 func TestCountsDoNotGrowYounger(t *testing.T) {
 	a, b := New("a", limit), New("b", limit)
 	crashOn(a, "x", "e1", start, "y")
@@ -179,19 +179,19 @@
 	table := New("entry-1/a", limit)
 	crashOn(table, "bad", "e1", start)
 	crashOn(table, "bad", "e2", start)
-	for i := range 3 * shardCount * shardMax {
+	for i := range 3 * shardCount * maxSuspectsPerShard {
 		crashOn(table, fmt.Sprint(i), "e1", start.Add(time.Duration(i)*time.Millisecond), "x")
 	}
 	for i := range table.shards {
 		s := &table.shards[i]
-		assert.Assert(t, len(s.contents) <= shardMax && len(s.contents) == s.suspects)
+		assert.Assert(t, len(s.contents) <= maxSuspectsPerShard && len(s.contents) == s.suspects)
 	}
-	assert.Equal(t, len(table.Counts(start)), countsMax)
+	assert.Equal(t, len(table.Counts(start)), maxCountsSent)
 	assert.Assert(t, table.Refused("bad", start) > 0)
 }
 
-// TestMergeAnyOrder delivers counts late, repeated and in any order; all
-// tables that have heard the same say the same.
+// TestMergeAnyOrder delivers counts late, repeated and in any order: all tables that
+// have received the same counts decide the same.
 func TestMergeAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := New("a", limit)
@@ -228,8 +228,8 @@
 	return all
 }
 
-// TestCrashBound lets content that always crashes be sent in any pattern, to
-// several entries that exchange counts now and then, and counts its crashes.
+// TestCrashBound runs content that always crashes in any pattern at several entries
+// that exchange counts now and then, and checks the bound on its crashes.
 func TestCrashBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 4).Draw(t, "entries")
