--- a/scheduler/placements.go
+++ b/scheduler/placements.go
@@ -9,39 +9,43 @@
 )
 
 const (
-	// placementSpan is how long a placement is worth telling: about as long as
-	// engines are expected to keep a prompt's shared parts unused.
-	placementSpan = 10 * time.Second
-	// maxPlacements bounds what a process remembers and tells.
+	// maxPlacementAge is how long a placement is worth sending: about as long as engines
+	// are expected to keep the cached prefix of a prompt without use.
+	maxPlacementAge = 10 * time.Second
+	// maxPlacements bounds the placements that a process remembers and sends.
 	maxPlacements = 256
 )
 
-// placements remembers which engines this process's requests were sent to, for
-// the next owner of the queue.
+// placements remembers to which engines this process's requests were sent, to tell the
+// next owner of the queue.
 //
-// The failure that it guards against: an owner that takes over knows nothing
-// of what engines keep, places prompts anew, and all shared parts are read
-// again; in a rolling stop of a grown fleet, several times.
+// The failure that it guards against: a new owner does not know which prefixes the
+// engines have cached, places prompts anew, and all shared prefixes are read again. If
+// the members of a fleet that has grown are stopped one after another, this happens
+// several times.
 type placements struct {
 	mu   sync.Mutex
-	ring []placed
+	ring []recentPlacement
+	// next is the index in ring of the oldest placement, once the ring is full.
 	next int
-	// told is the owner that has heard of them; nil means this process.
-	told  *peer.Conn
-	asked bool
+	// lastOwner is the owner to which placements were sent last; nil means this process.
+	// It is only valid if hasLastOwner is true.
+	lastOwner    *peer.Conn
+	hasLastOwner bool
 }
 
-type placed struct {
+// recentPlacement is a placement with its time.
+type recentPlacement struct {
 	dispatch.Placement
 	at time.Time
 }
 
-// add remembers where a job went.
+// add remembers to which engine a job was sent. A job without a prefix is skipped.
 func (p *placements) add(j dispatch.Job, endpoint string, now time.Time) {
 	if len(j.Prefix) == 0 {
 		return
 	}
-	entry := placed{
+	entry := recentPlacement{
 		Placement: dispatch.Placement{Service: j.Service, Endpoint: endpoint, Prefix: j.Prefix},
 		at:        now,
 	}
@@ -55,19 +59,19 @@
 	p.next = (p.next + 1) % maxPlacements
 }
 
-// news returns what an owner has to be told: the recent placements, if it is
-// another than the last one, else nothing.
-func (p *placements) news(owner *peer.Conn, now time.Time) []dispatch.Placement {
+// takeForOwner returns the recent placements if owner differs from lastOwner, else
+// nothing, and sets lastOwner.
+func (p *placements) takeForOwner(owner *peer.Conn, now time.Time) []dispatch.Placement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.asked && owner == p.told {
+	if p.hasLastOwner && owner == p.lastOwner {
 		return nil
 	}
-	p.asked = true
-	p.told = owner
+	p.hasLastOwner = true
+	p.lastOwner = owner
 	var recent []dispatch.Placement
 	for _, e := range p.ring {
-		if now.Sub(e.at) < placementSpan {
+		if now.Sub(e.at) < maxPlacementAge {
 			recent = append(recent, e.Placement)
 		}
 	}
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -23,16 +23,16 @@
 	MethodPlaced = "dispatch.placed"
 )
 
-// Note is what an entry tells the owner of a job.
+// Note is a message about a job from an entry to the queue owner.
 type Note struct {
 	Ticket string `json:"ticket"`
-	// Served says whether the model engine did its part; only read when done.
+	// Served is true if the model engine served the request; it is only used with MethodDone.
 	Served bool `json:"served,omitempty"`
 }
 
 // Serve registers the methods by which other processes use the scheduler.
 func Serve(mux *peer.Mux, s *Scheduler) {
-	peer.HandleCall(mux, MethodSubmit, func(ctx context.Context, _ *peer.Conn, j dispatch.Job) (Verdict, error) {
+	peer.HandleCall(mux, MethodSubmit, func(ctx context.Context, _ *peer.Conn, j dispatch.Job) (Decision, error) {
 		return s.Submit(ctx, j)
 	})
 	peer.HandleNote(mux, MethodCancel, func(_ *peer.Conn, n Note) { s.Cancel(n.Ticket) })
@@ -41,61 +41,64 @@
 	peer.HandleNote(mux, MethodDone, func(_ *peer.Conn, n Note) { s.Done(n.Ticket, n.Served) })
 }
 
-// reachPatience is how long a job waits for the connection to an owner that is
-// known: a dial takes milliseconds, and a second queue for the same endpoints costs
-// the jobs of both.
-const reachPatience = 300 * time.Millisecond
+// ownerConnTimeout is how long a job waits for the connection to a known owner before
+// it is queued locally. A dial takes milliseconds, whereas a second queue for the same
+// endpoints delays the jobs of both.
+const ownerConnTimeout = 300 * time.Millisecond
 
-// resubmitPause keeps a job that finds no owner from spinning.
+// resubmitPause keeps a job that finds no owner from retrying in a busy loop.
 const resubmitPause = 20 * time.Millisecond
 
-// Owners tells who owns the queue.
+// Owners tells which process owns the queue.
 type Owners interface {
-	// OwnerConn returns the connection to the owner; nil if this process owns
-	// the queue or does not reach the owner.
+	// OwnerConn returns the connection to the owner; nil if this process owns the queue or
+	// has no connection to the owner.
 	OwnerConn() *peer.Conn
-	// Owns tells whether this process owns the queue.
+	// Owns reports whether this process owns the queue.
 	Owns() bool
-	// Lost returns what is closed when the process at the other end is taken
-	// for lost.
+	// Lost returns a channel that is closed when the process at the other end of conn is
+	// considered lost.
 	Lost(conn *peer.Conn) <-chan struct{}
-	// Settled is closed once it is known who owns the queue.
+	// Settled returns a channel that is closed once the owner of the queue is known.
 	Settled() <-chan struct{}
 }
 
-// Client gives jobs to the owner of the queue, wherever it is.
+// Client submits jobs to the owner of the queue, in this process or another one.
 type Client struct {
-	local  *Scheduler
-	owners Owners
-	log    zerolog.Logger
-	placed placements
+	local            *Scheduler
+	owners           Owners
+	log              zerolog.Logger
+	recentPlacements placements
 }
 
-// NewClient returns a client; jobs go to local when no other owner is reached.
+// NewClient returns a client that submits jobs to local if this process owns the queue
+// or has no connection to the owner.
 func NewClient(local *Scheduler, owners Owners, log zerolog.Logger) *Client {
 	return &Client{local: local, owners: owners, log: log}
 }
 
-// Lease is a granted job: the owner is told how it goes on.
+// Lease is a job with its decision. Its methods report the progress of the request to
+// the owner.
 type Lease struct {
-	Verdict
-	// Owner is the process that decided; empty if it was this one.
+	Decision
+	// Owner is the name of the process that decided; empty for this process.
 	Owner  string
 	client *Client
 	ticket string
-	// conn is nil if this process owns the queue.
+	// conn is nil if the job was submitted to this process.
 	conn *peer.Conn
 	once sync.Once
 }
 
-// Submit gives the job to the owner and waits for its verdict. If the owner is
-// lost, the job is given to the next one: pieces may be made again. The time that has passed is taken off the job's limits.
+// Submit submits the job to the owner and waits for its decision. If the owner is lost,
+// it submits the job to the next one, so that pieces may be run again. The time that has
+// passed is subtracted from the job's objective and deadline.
 func (c *Client) Submit(ctx context.Context, j dispatch.Job) (*Lease, error) {
 	began := time.Now()
 	select {
 	case <-c.owners.Settled():
 	case <-ctx.Done():
-		return nil, ErrLeft.Wrap(ctx.Err(), "before the owner was known")
+		return nil, ErrCallerLeft.Wrap(ctx.Err(), "before the owner was known")
 	}
 	objective, deadline := j.Objective, j.Deadline
 	base := j.Ticket
@@ -106,34 +109,34 @@
 		if try > 0 {
 			j.Ticket = base + "+" + strconv.Itoa(try)
 		}
-		conn := c.reach(ctx)
-		c.tell(conn)
+		conn := c.waitForOwner(ctx)
+		c.sendPlacements(conn)
 		v, err := c.submit(ctx, conn, j)
 		if err == nil && v.Moved && conn == c.owners.OwnerConn() {
-			// The owner has not heard yet, or this process has not.
+			// Either the former owner or this process has not yet received the change of owner.
 			sleep.For(ctx, resubmitPause)
 		}
 		if err == nil && v.Grant != nil {
-			c.placed.add(j, v.Grant.Endpoint, time.Now())
+			c.recentPlacements.add(j, v.Grant.Endpoint, time.Now())
 		}
 		if err == nil && !v.Moved {
-			return &Lease{Verdict: v, Owner: ownerName(conn), client: c, ticket: j.Ticket, conn: conn}, nil
+			return &Lease{Decision: v, Owner: ownerName(conn), client: c, ticket: j.Ticket, conn: conn}, nil
 		}
 		if ctx.Err() != nil || err != nil && conn == nil {
-			return nil, ErrLeft.Wrap(err, "ticket %s", j.Ticket)
+			return nil, ErrCallerLeft.Wrap(err, "ticket %s", j.Ticket)
 		}
 		if err != nil {
 			sleep.For(ctx, resubmitPause)
 		}
 		c.log.Info().Str("event", logJobMoves).Str("request", j.Request).Str("ticket", j.Ticket).
-			Bool("moved", v.Moved).Err(err).Msg("the job goes to another owner of the queue")
+			Bool("moved", v.Moved).Err(err).Msg("job is resubmitted to another owner of the queue")
 	}
 }
 
-// reach returns the connection to the owner; nil if this process owns the queue
-// or does not reach the owner.
-func (c *Client) reach(ctx context.Context) *peer.Conn {
-	until := time.Now().Add(reachPatience)
+// waitForOwner returns the connection to the owner, for which it waits up to
+// ownerConnTimeout; nil if this process owns the queue or has no connection.
+func (c *Client) waitForOwner(ctx context.Context) *peer.Conn {
+	until := time.Now().Add(ownerConnTimeout)
 	for {
 		conn := c.owners.OwnerConn()
 		if conn != nil || c.owners.Owns() || ctx.Err() != nil || time.Now().After(until) {
@@ -143,21 +146,21 @@
 	}
 }
 
-// tell tells an owner that has just taken over where this process's requests
-// were sent.
-func (c *Client) tell(conn *peer.Conn) {
-	news := c.placed.news(conn, time.Now())
+// sendPlacements tells a new owner to which engines this process's requests were sent.
+func (c *Client) sendPlacements(conn *peer.Conn) {
+	recent := c.recentPlacements.takeForOwner(conn, time.Now())
 	switch {
-	case len(news) == 0:
+	case len(recent) == 0:
 	case conn == nil:
-		c.local.Placed(news)
+		c.local.Placed(recent)
 	default:
-		if err := conn.Notify(MethodPlaced, news); err != nil {
+		if err := conn.Notify(MethodPlaced, recent); err != nil {
 			c.log.Debug().Str("event", logOwnerNotTold).Err(err).Msg(MethodPlaced)
 		}
 	}
 }
 
+// ownerName returns the name of the process at the other end, or "" for this process.
 func ownerName(conn *peer.Conn) string {
 	if conn == nil {
 		return ""
@@ -165,8 +168,9 @@
 	return conn.Peer().Process.Name
 }
 
-// submit sends the job to one owner.
-func (c *Client) submit(ctx context.Context, conn *peer.Conn, j dispatch.Job) (Verdict, error) {
+// submit submits the job to one owner and waits for its decision, until the owner is
+// lost.
+func (c *Client) submit(ctx context.Context, conn *peer.Conn, j dispatch.Job) (Decision, error) {
 	if conn == nil {
 		return c.local.Submit(ctx, j)
 	}
@@ -180,11 +184,11 @@
 		case <-ctx.Done():
 		}
 	}()
-	var v Verdict
+	var v Decision
 	err := conn.Call(ctx, MethodSubmit, j, &v)
 	if err != nil && !errorx.IsOfType(err, peer.ErrNotWritten) {
-		// The old owner may still be there, or wake up later: it must not
-		// hold room for a job that has gone elsewhere.
+		// The former owner may still run, or wake up later: it must not reserve capacity for a
+		// job that was submitted elsewhere.
 		go func() { _ = conn.Notify(MethodCancel, Note{Ticket: j.Ticket}) }()
 	}
 	return v, err
@@ -199,7 +203,7 @@
 	l.notify(MethodFirst, Note{Ticket: l.ticket})
 }
 
-// Done tells the owner that the job has ended; only the first call counts.
+// Done tells the owner that the job has ended; later calls have no effect.
 func (l *Lease) Done(served bool) {
 	l.once.Do(func() {
 		if l.conn == nil {
@@ -210,8 +214,8 @@
 	})
 }
 
-// notify may find the owner gone: then it has forgotten the job anyway, or
-// drops it when the job's time has run out.
+// notify sends a note to the owner. A failure is only logged: an owner that has ended
+// has lost the job anyway, and one that is cut off drops it at the job's deadline.
 func (l *Lease) notify(method string, n Note) {
 	if err := l.conn.Notify(method, n); err != nil {
 		l.client.log.Debug().Str("event", logOwnerNotTold).Str("ticket", l.ticket).Err(err).Msg(method)
--- a/scheduler/remote_test.go
+++ b/scheduler/remote_test.go
@@ -24,10 +24,10 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// patience bounds each wait of these tests.
-const patience = 10 * time.Second
+// waitTimeout bounds each wait of these tests.
+const waitTimeout = 10 * time.Second
 
-// process is one member of a fleet with a queue.
+// process is one member of a fleet with its scheduler.
 type process struct {
 	node      *peer.Node
 	scheduler *scheduler.Scheduler
@@ -63,37 +63,39 @@
 	return conn
 }
 
-// owners is who owns the queue, as the test says.
-type owners struct {
+// stubOwners is a scheduler.Owners whose owner the test sets.
+type stubOwners struct {
 	mu   sync.Mutex
 	conn *peer.Conn
 	lost chan struct{}
 }
 
-func newOwners(conn *peer.Conn) *owners { return &owners{conn: conn, lost: make(chan struct{})} }
+func newStubOwners(conn *peer.Conn) *stubOwners {
+	return &stubOwners{conn: conn, lost: make(chan struct{})}
+}
 
-func (o *owners) OwnerConn() *peer.Conn {
+func (o *stubOwners) OwnerConn() *peer.Conn {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.conn
 }
 
-func (o *owners) Owns() bool { return o.OwnerConn() == nil }
+func (o *stubOwners) Owns() bool { return o.OwnerConn() == nil }
 
-func (o *owners) Lost(*peer.Conn) <-chan struct{} {
+func (o *stubOwners) Lost(*peer.Conn) <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lost
 }
 
-func (o *owners) Settled() <-chan struct{} {
+func (o *stubOwners) Settled() <-chan struct{} {
 	settled := make(chan struct{})
 	close(settled)
 	return settled
 }
 
-// set names another owner; lose takes the former for lost.
-func (o *owners) set(conn *peer.Conn, lose bool) {
+// set sets the connection to the owner; lose also declares the former owner lost.
+func (o *stubOwners) set(conn *peer.Conn, lose bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.conn = conn
@@ -103,8 +105,8 @@
 	}
 }
 
-// view has a model engine and one endpoint of a stage.
-func view(stageAddr string) *catalog.View {
+// testView returns a view with a model engine and one endpoint of a stage.
+func testView(stageAddr string) *catalog.View {
 	c := &catalog.Config{Version: 1, Services: []catalog.Service{
 		{Name: "model", Model: &catalog.Model{Slots: 8, CacheTokens: 1000}},
 		{Name: "stage", Batch: &catalog.Batch{Slots: 1, Items: 4, CallTime: time.Second, ItemTime: time.Millisecond, Room: 1000, ResultTTL: time.Minute}},
@@ -115,7 +117,8 @@
 	}, 1)
 }
 
-func job(ticket string) dispatch.Job {
+// testJob returns a job with one piece for the stage of testView.
+func testJob(ticket string) dispatch.Job {
 	return dispatch.Job{
 		Ticket: ticket, Request: ticket, Service: "model", Route: "r", PieceKey: "k",
 		Stages:    []dispatch.StageWork{{Service: "stage", Pieces: 1, ResultBytes: 10}},
@@ -123,6 +126,7 @@
 	}
 }
 
+// stageServer starts a server and returns its address.
 func stageServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
@@ -133,23 +137,23 @@
 func TestJobGoesToTheOwner(t *testing.T) {
 	a, b := newProcess(t, "a"), newProcess(t, "b")
 	stage := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
-	b.scheduler.SetView(view(stageServer(t, stage)))
-	client := scheduler.NewClient(a.scheduler, newOwners(a.dial(t, b)), zerolog.Nop())
-	lease, err := client.Submit(context.Background(), job("1"))
+	b.scheduler.SetView(testView(stageServer(t, stage)))
+	client := scheduler.NewClient(a.scheduler, newStubOwners(a.dial(t, b)), zerolog.Nop())
+	lease, err := client.Submit(context.Background(), testJob("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, lease.Grant.Endpoint, "m-1")
 	assert.Equal(t, lease.Owner, "b")
 	assert.Equal(t, len(lease.Grant.Inputs), 1)
 	lease.FirstEvent()
 	lease.Done(true)
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for stage.Kept() > 0 {
-		assert.Assert(t, time.Now().Before(deadline), "the result was not given up")
+		assert.Assert(t, time.Now().Before(deadline), "the result was not freed")
 	}
 }
 
-// The owner's VM freezes while a request waits for its stages: the job must go
-// to the next owner, and the request must not wait for its deadline.
+// The owner's VM freezes while a request waits for its stages: the job must move to the
+// next owner, and the request must not wait for its deadline.
 func TestLostOwner(t *testing.T) {
 	a, b, c := newProcess(t, "a"), newProcess(t, "b"), newProcess(t, "c")
 	began := make(chan struct{})
@@ -160,39 +164,39 @@
 		once.Do(func() { close(began) })
 		<-r.Context().Done()
 	}))
-	b.scheduler.SetView(view(hangs))
-	c.scheduler.SetView(view(stageServer(t, &standin.StageEndpoint{ID: "s-1", Addr: "s"})))
-	who := newOwners(a.dial(t, b))
+	b.scheduler.SetView(testView(hangs))
+	c.scheduler.SetView(testView(stageServer(t, &standin.StageEndpoint{ID: "s-1", Addr: "s"})))
+	owners := newStubOwners(a.dial(t, b))
 	next := a.dial(t, c)
-	client := scheduler.NewClient(a.scheduler, who, zerolog.Nop())
+	client := scheduler.NewClient(a.scheduler, owners, zerolog.Nop())
 	go func() {
 		<-began
-		who.set(next, true)
+		owners.set(next, true)
 	}()
-	lease, err := client.Submit(context.Background(), job("1"))
+	lease, err := client.Submit(context.Background(), testJob("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, lease.Owner, "c")
 	b.node.DropAll()
 }
 
-// The owner is replaced as planned: jobs without a piece go to the next one.
+// The owner is replaced as planned: jobs without a started piece move to the next one.
 func TestHandOverMovesJobs(t *testing.T) {
 	a, b, c := newProcess(t, "a"), newProcess(t, "b"), newProcess(t, "c")
 	began := make(chan struct{}, 8)
 	release := make(chan struct{})
 	inner := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
-	b.scheduler.SetView(view(stageServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b.scheduler.SetView(testView(stageServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began <- struct{}{}
 		<-release
 		inner.ServeHTTP(w, r)
 	}))))
-	c.scheduler.SetView(view(stageServer(t, &standin.StageEndpoint{ID: "s-1", Addr: "s"})))
-	who := newOwners(a.dial(t, b))
+	c.scheduler.SetView(testView(stageServer(t, &standin.StageEndpoint{ID: "s-1", Addr: "s"})))
+	owners := newStubOwners(a.dial(t, b))
 	next := a.dial(t, c)
-	client := scheduler.NewClient(a.scheduler, who, zerolog.Nop())
+	client := scheduler.NewClient(a.scheduler, owners, zerolog.Nop())
 	granted := make(chan string, 2)
 	submit := func(ticket string) {
-		lease, err := client.Submit(context.Background(), job(ticket))
+		lease, err := client.Submit(context.Background(), testJob(ticket))
 		if err == nil && lease.Grant != nil {
 			granted <- ticket + " " + lease.Owner
 		}
@@ -200,47 +204,47 @@
 	go submit("first")
 	<-began
 	go submit("second")
-	testwait.For(t, patience, func() bool { return b.scheduler.Stats().Jobs == 2 })
-	who.set(next, false)
+	testwait.For(t, waitTimeout, func() bool { return b.scheduler.Stats().Jobs == 2 })
+	owners.set(next, false)
 	b.scheduler.HandOver()
 	assert.Equal(t, <-granted, "second c")
 	close(release)
 	assert.Equal(t, <-granted, "first b")
 }
 
-// Nobody owns the queue but this process: it serves its own requests.
-func TestAlone(t *testing.T) {
+// This process owns the queue and serves its own requests.
+func TestSingleProcess(t *testing.T) {
 	a := newProcess(t, "a")
-	a.scheduler.SetView(view(stageServer(t, &standin.StageEndpoint{ID: "s-1", Addr: "s"})))
-	client := scheduler.NewClient(a.scheduler, newOwners(nil), zerolog.Nop())
-	lease, err := client.Submit(context.Background(), job("1"))
+	a.scheduler.SetView(testView(stageServer(t, &standin.StageEndpoint{ID: "s-1", Addr: "s"})))
+	client := scheduler.NewClient(a.scheduler, newStubOwners(nil), zerolog.Nop())
+	lease, err := client.Submit(context.Background(), testJob("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, lease.Owner, "")
 	assert.Assert(t, lease.Grant != nil)
 }
 
-// The client leaves while its pieces run: nothing is left at the owner, and the
-// result that comes later is given up.
+// The client leaves while its pieces run: no job is left at the owner, and the result
+// that arrives later is freed.
 func TestCallerLeaves(t *testing.T) {
 	a := newProcess(t, "a")
 	began, left := make(chan struct{}, 4), make(chan struct{})
 	inner := &standin.StageEndpoint{ID: "s-1", Addr: "s"}
-	a.scheduler.SetView(view(stageServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	a.scheduler.SetView(testView(stageServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "stage-run") {
 			began <- struct{}{}
 			<-left
 		}
 		inner.ServeHTTP(w, r)
 	}))))
-	client := scheduler.NewClient(a.scheduler, newOwners(nil), zerolog.Nop())
+	client := scheduler.NewClient(a.scheduler, newStubOwners(nil), zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-began
 		cancel()
 	}()
-	_, err := client.Submit(ctx, job("1"))
-	assert.Assert(t, errorx.IsOfType(err, scheduler.ErrLeft))
+	_, err := client.Submit(ctx, testJob("1"))
+	assert.Assert(t, errorx.IsOfType(err, scheduler.ErrCallerLeft))
 	assert.Equal(t, a.scheduler.Stats().Jobs, 0)
 	close(left)
-	testwait.For(t, patience, func() bool { return len(inner.Made()) == 1 && inner.Kept() == 0 })
+	testwait.For(t, waitTimeout, func() bool { return len(inner.Made()) == 1 && inner.Kept() == 0 })
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
-// Package scheduler runs a dispatch.Core: it serializes events, calls the
-// endpoints of stages and hands verdicts to the waiting requests.
+// Package scheduler runs a dispatch.Core: it serializes events, calls the endpoints of
+// stages and delivers decisions to the waiting requests.
 package scheduler
 
 import (
@@ -18,62 +18,65 @@
 )
 
 const (
-	// tickEvery is how often waiting jobs are looked at.
-	tickEvery = 20 * time.Millisecond
-	// freeTimeout bounds a call that gives up results.
+	// tickInterval is the time between two checks of the waiting jobs.
+	tickInterval = 20 * time.Millisecond
+	// freeTimeout limits a call that frees results.
 	freeTimeout = time.Second
 )
 
 var (
 	errs = errorx.NewNamespace("scheduler")
-	// ErrLeft means that the caller went away before the verdict.
-	ErrLeft = errs.NewType("left")
+	// ErrCallerLeft means that the caller's context ended before the decision.
+	ErrCallerLeft = errs.NewType("left")
 )
 
-// Verdict is what became of a job: exactly one of the three is set.
-type Verdict struct {
+// Decision is the result of submitting a job; exactly one field is set.
+type Decision struct {
 	Grant  *dispatch.Grant  `json:"grant,omitempty"`
 	Refuse *dispatch.Refuse `json:"refuse,omitempty"`
-	// Moved jobs have to be given to the present owner.
+	// Moved is true if the job has to be submitted to the current owner of the queue.
 	Moved bool `json:"moved,omitempty"`
 }
 
-// Scheduler is the shell around one Core.
+// Scheduler adds locking, time and calls to one dispatch.Core.
 type Scheduler struct {
 	stages *platform.Stages
 	log    zerolog.Logger
 
-	mu      sync.Mutex
-	core    *dispatch.Core
-	waiting map[string]chan Verdict
-	// busy wakes the ticker when the first job comes.
-	busy chan struct{}
-	ctx  context.Context
+	mu   sync.Mutex
+	core *dispatch.Core
+	// waiting maps the tickets of undecided jobs to their callers.
+	waiting map[string]chan Decision
+	// wake wakes the ticker when a job is submitted.
+	wake chan struct{}
+	// ctx is the parent of the calls to endpoints.
+	ctx context.Context
 }
 
-// New returns a Scheduler; Run lets its time pass. The name is that of the process.
+// New returns a Scheduler for the process of the name; Run must be called for deadlines
+// to take effect.
 func New(name string, stages *platform.Stages, log zerolog.Logger) *Scheduler {
 	return &Scheduler{
 		stages:  stages,
 		log:     log,
 		core:    dispatch.New(name),
-		waiting: make(map[string]chan Verdict),
-		busy:    make(chan struct{}, 1),
+		waiting: make(map[string]chan Decision),
+		wake:    make(chan struct{}, 1),
 		ctx:     context.Background(),
 	}
 }
 
 // Run ticks while there are jobs, until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.busy:
+		case <-s.wake:
 		}
-		ticker.Reset(tickEvery)
+		ticker.Reset(tickInterval)
 		for idle := false; !idle; {
 			select {
 			case <-ctx.Done():
@@ -86,96 +89,97 @@
 	}
 }
 
-// tick tells whether there is nothing left to wait for; due is when it should
-// have come.
+// tick advances the core's time and reports whether there is nothing left to wait for.
+// due is when the tick should have occurred.
 func (s *Scheduler) tick(due time.Time) bool {
 	now := s.lock(due)
 	s.core.Tick(now)
 	idle := s.core.Idle()
 	effects := s.core.Effects()
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.runEffects(effects)
 	return idle
 }
 
-// SetView passes on a new view.
+// SetView passes a new view to the core.
 func (s *Scheduler) SetView(view *catalog.View) {
-	s.event(func(now time.Time, c *dispatch.Core) { c.SetView(now, view) })
+	s.handle(func(now time.Time, c *dispatch.Core) { c.SetView(now, view) })
 }
 
-// Submit runs the stages of a job and returns its verdict. A caller whose
-// context ends gets ErrLeft, and the job is given up.
-func (s *Scheduler) Submit(ctx context.Context, j dispatch.Job) (Verdict, error) {
-	verdict := make(chan Verdict, 1)
+// Submit runs the stages of a job and returns its decision. If the context ends before,
+// it cancels the job and returns ErrCallerLeft.
+func (s *Scheduler) Submit(ctx context.Context, j dispatch.Job) (Decision, error) {
+	decision := make(chan Decision, 1)
 	now := s.lock(time.Now())
-	s.waiting[j.Ticket] = verdict
+	s.waiting[j.Ticket] = decision
 	err := s.core.Submit(now, j)
 	effects := s.core.Effects()
 	s.mu.Unlock()
 	if err != nil {
-		return Verdict{}, err
+		return Decision{}, err
 	}
-	s.carryOut(effects)
+	s.runEffects(effects)
 	select {
-	case s.busy <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 	select {
-	case v := <-verdict:
+	case v := <-decision:
 		return v, nil
 	case <-ctx.Done():
 		s.Cancel(j.Ticket)
-		return Verdict{}, ErrLeft.Wrap(ctx.Err(), "ticket %s", j.Ticket)
+		return Decision{}, ErrCallerLeft.Wrap(ctx.Err(), "ticket %s", j.Ticket)
 	}
 }
 
-// Cancel gives up a job.
+// Cancel cancels a job.
 func (s *Scheduler) Cancel(ticket string) {
-	s.event(func(now time.Time, c *dispatch.Core) { c.Cancel(now, ticket) })
+	s.handle(func(now time.Time, c *dispatch.Core) { c.Cancel(now, ticket) })
 	s.mu.Lock()
 	delete(s.waiting, ticket)
 	s.mu.Unlock()
 }
 
-// FirstEvent notes that the model engine has begun to answer.
+// FirstEvent records that the model engine has begun to answer.
 func (s *Scheduler) FirstEvent(ticket string) {
-	s.event(func(now time.Time, c *dispatch.Core) { c.FirstEvent(now, ticket) })
+	s.handle(func(now time.Time, c *dispatch.Core) { c.FirstEvent(now, ticket) })
 }
 
-// Done ends a granted job.
+// Done ends a granted job; served says whether the engine served the request.
 func (s *Scheduler) Done(ticket string, served bool) {
-	s.event(func(now time.Time, c *dispatch.Core) { c.Done(now, ticket, served) })
+	s.handle(func(now time.Time, c *dispatch.Core) { c.Done(now, ticket, served) })
 }
 
-// Placed notes what engines have read by the word of the entries.
+// Placed records which prompts engines have read, according to the entries.
 func (s *Scheduler) Placed(placements []dispatch.Placement) {
-	s.event(func(_ time.Time, c *dispatch.Core) { c.Placed(placements) })
+	s.handle(func(_ time.Time, c *dispatch.Core) { c.Placed(placements) })
 }
 
-// HandOver gives the jobs that have not begun back to their entries: another
-// process owns the queue.
+// HandOver returns the jobs that have not begun to the processes that submitted them,
+// because another process owns the queue.
 func (s *Scheduler) HandOver() {
-	s.event(func(now time.Time, c *dispatch.Core) { c.HandOver(now) })
+	s.handle(func(now time.Time, c *dispatch.Core) { c.HandOver(now) })
 }
 
-// Promoted notes that this process has come to own the queue, and what it reaches.
+// Promoted records that this process has become the owner of the queue, and which part
+// of the fleet it reaches.
 func (s *Scheduler) Promoted(r fleet.Reach) {
-	s.event(func(_ time.Time, c *dispatch.Core) {
+	s.handle(func(_ time.Time, c *dispatch.Core) {
 		c.Promoted(r.Share)
 		c.Reach(r.Unreached)
 	})
 }
 
-// Reach notes what the owner reaches by now.
+// Reach updates the part of the fleet that the owner reaches.
 func (s *Scheduler) Reach(r fleet.Reach) {
-	s.event(func(_ time.Time, c *dispatch.Core) {
+	s.handle(func(_ time.Time, c *dispatch.Core) {
 		c.Share(r.Share)
 		c.Reach(r.Unreached)
 	})
 }
 
-// Holds tells whether this process has begun stages, its own or others', whose
-// results would be lost, or kept in vain, if it ended now.
+// Holds reports whether this process has begun stages, for itself or others, whose
+// results would be lost, or kept without use, if it ended now.
 func (s *Scheduler) Holds() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,8 +193,8 @@
 	return s.core.Stats(time.Now())
 }
 
-// lock takes the core for an event that arrived at a time, and returns the time
-// at which it is handled.
+// lock locks the core for an event that arrived at a time, reports the delay to the core,
+// and returns the current time.
 func (s *Scheduler) lock(arrived time.Time) time.Time {
 	s.mu.Lock()
 	now := time.Now()
@@ -198,43 +202,46 @@
 	return now
 }
 
-func (s *Scheduler) event(apply func(time.Time, *dispatch.Core)) {
+// handle applies an event to the core and runs its effects.
+func (s *Scheduler) handle(apply func(time.Time, *dispatch.Core)) {
 	now := s.lock(time.Now())
 	apply(now, s.core)
 	effects := s.core.Effects()
 	s.mu.Unlock()
-	s.carryOut(effects)
+	s.runEffects(effects)
 }
 
-func (s *Scheduler) carryOut(effects []dispatch.Effect) {
+// runEffects carries out what the core has decided.
+func (s *Scheduler) runEffects(effects []dispatch.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case dispatch.StartCall:
-			go s.call(e)
+			go s.runCall(e)
 		case dispatch.Free:
-			go s.free(e)
+			go s.freeResults(e)
 		case dispatch.Grant:
-			s.answer(e.Ticket, Verdict{Grant: &e})
+			s.deliver(e.Ticket, Decision{Grant: &e})
 		case dispatch.Move:
-			s.answer(e.Ticket, Verdict{Moved: true})
+			s.deliver(e.Ticket, Decision{Moved: true})
 		case dispatch.Refuse:
-			s.answer(e.Ticket, Verdict{Refuse: &e})
+			s.deliver(e.Ticket, Decision{Refuse: &e})
 		}
 	}
 }
 
-func (s *Scheduler) answer(ticket string, v Verdict) {
+// deliver passes a decision to the caller that waits for it, if there still is one.
+func (s *Scheduler) deliver(ticket string, v Decision) {
 	s.mu.Lock()
-	verdict := s.waiting[ticket]
+	decision := s.waiting[ticket]
 	delete(s.waiting, ticket)
 	s.mu.Unlock()
-	if verdict != nil {
-		verdict <- v
+	if decision != nil {
+		decision <- v
 	}
 }
 
-// call sends one call and reports its end.
-func (s *Scheduler) call(e dispatch.StartCall) {
+// runCall makes one call to an endpoint of a stage and reports its end to the core.
+func (s *Scheduler) runCall(e dispatch.StartCall) {
 	ctx, cancel := context.WithTimeout(s.ctx, e.Timeout)
 	defer cancel()
 	pieces := make([]platform.Piece, len(e.Pieces))
@@ -258,11 +265,11 @@
 	}
 	line.Str("event", logStageCall).Uint64("call", e.Call).Str("service", e.Service).Str("endpoint", e.Endpoint).
 		Strs("requests", requestsOf(e.Pieces)).Int("waiting", e.Waiting).Int("pieces", len(pieces)).Int("failed", failed).Str("fault", string(fault)).
-		Float64("speed", e.Speed).Bool("suspect", e.Suspect).Dur("took_ms", time.Since(sent)).Msg("call for a stage ended")
-	s.event(func(now time.Time, c *dispatch.Core) { c.CallEnded(now, e.Call, fault, outcomes) })
+		Float64("speed", e.Speed).Bool("suspect", e.Suspect).Dur("took_ms", time.Since(sent)).Msg("stage call ended")
+	s.handle(func(now time.Time, c *dispatch.Core) { c.CallEnded(now, e.Call, fault, outcomes) })
 }
 
-// requestsOf lists the requests that a call carries pieces of, each once.
+// requestsOf returns the IDs of the requests whose pieces a call carries, each once.
 func requestsOf(pieces []dispatch.Piece) []string {
 	var requests []string
 	for _, p := range pieces {
@@ -273,6 +280,7 @@
 	return requests
 }
 
+// callFault maps the error of a call to the core's fault.
 func callFault(err error) dispatch.CallFault {
 	switch {
 	case err == nil:
@@ -285,6 +293,7 @@
 	return dispatch.CallLost
 }
 
+// pieceFault maps the result of a piece to the core's fault.
 func pieceFault(r platform.PieceResult) dispatch.Fault {
 	switch r.Reason {
 	case platform.ReasonNone:
@@ -302,15 +311,15 @@
 	return dispatch.FaultWork
 }
 
-// free gives up results. A failure is only logged: the endpoint drops them by
-// itself in the end.
-func (s *Scheduler) free(e dispatch.Free) {
+// freeResults frees results at an endpoint. A failure is only logged, because the
+// endpoint eventually drops the results by itself.
+func (s *Scheduler) freeResults(e dispatch.Free) {
 	ctx, cancel := context.WithTimeout(s.ctx, freeTimeout)
 	defer cancel()
 	err := s.stages.Free(ctx, e.Endpoint, e.Addr, e.Handles)
-	s.event(func(now time.Time, c *dispatch.Core) { c.FreeEnded(now, e.ID, err == nil) })
+	s.handle(func(now time.Time, c *dispatch.Core) { c.FreeEnded(now, e.ID, err == nil) })
 	if err != nil {
 		s.log.Warn().Str("event", logFreeFailed).Str("endpoint", e.Endpoint).Int("results", len(e.Handles)).
-			Err(err).Msg("results were not given up")
+			Err(err).Msg("freeing results failed")
 	}
 }
