--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,13 +1,12 @@
-// Package owner maps idempotency keys to the endpoints that own them. Entries
-// and agents compute the same owner from the same slot list without talking to
-// each other.
+// Package owner maps idempotency keys to the endpoints that own them. Entries and
+// agents compute the same owner from the same slot list without communicating.
 package owner
 
 import "github.com/cespare/xxhash/v2"
 
-// Owner returns the slot that owns an identity at a stage, by rendezvous
-// hashing, or "" if there are no slots. The order of slots does not matter,
-// and a change of the list moves only the identities of the slots that changed.
+// Owner returns the slot that owns an identity at a stage, by rendezvous hashing, or ""
+// if there are no slots. The order of slots does not matter, and a change of the list
+// moves only the identities of the slots that changed.
 func Owner(slots []string, identity, stage string) string {
 	var best string
 	var bestScore uint64
@@ -20,8 +19,8 @@
 	return best
 }
 
-// score hashes the three names. Neither a slot nor a stage contains the separator,
-// so that no two different triples give the same input.
+// score hashes the slot, stage and identity. Neither a slot nor a stage contains the
+// separator, so that no two different triples give the same input.
 func score(slot, identity, stage string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -21,8 +21,8 @@
 	assert.Equal(t, Owner(nil, "k", "place"), "")
 }
 
-// Two processes with the same slots must agree, whatever the order, and a
-// removed slot must not move the keys of the others.
+// Two processes with the same slots must agree, whatever the order, and a removed slot
+// must not move the keys of the others.
 func TestOwnerIsStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.SliceOfNDistinct(rapid.StringMatching(`ep-[0-9]{1,3}`), 2, 8, rapid.ID).Draw(t, "slots")
