--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -56,7 +56,8 @@
 type crashCount struct {
 	// endpoints holds the Keys of the endpoints that crashed.
 	endpoints map[string]bool
-	// crashes counts those at least minCrashGap after the crash before.
+	// crashes is the number of crashes, without those that followed the one before within
+	// minCrashGap.
 	crashes int
 	// last is the time of the latest crash.
 	last time.Time
--- a/gateway/crashes_test.go
+++ b/gateway/crashes_test.go
@@ -106,7 +106,7 @@
 	assert.Assert(t, refused)
 }
 
-// The memory is bounded whatever number of connections break.
+// The memory is bounded, however many connections break.
 func TestCrashesAreBounded(t *testing.T) {
 	c := newCrashTracker()
 	for i := range 3 * maxContents {
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -63,8 +63,9 @@
 	assert.Equal(t, got.body, streamBody(6))
 }
 
-// As above, with a request that must not run twice: its client gets an error that does
-// not say that the request has not run, and gets it at once instead of at its deadline.
+// As TestStreamResumesAfterEndpointRestart, with a request that must not run twice: its
+// client gets an error that does not say that the request has not run, and gets it at
+// once instead of at its deadline.
 func TestOnceRequestAtRestartedEndpoint(t *testing.T) {
 	r := newRig(t)
 	ended := make(chan struct{})
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -65,8 +65,8 @@
 	assert.Equal(t, got.body, streamBody(6))
 }
 
-// The same on a route whose streams are not resumable: the answer must not look
-// complete, and no other engine may run the request.
+// As TestStreamResumesOnAnotherEngine, on a route whose streams are not resumable: the
+// answer must not look complete, and no other engine may run the request.
 func TestNonResumableStreamIsAborted(t *testing.T) {
 	r := newRig(t)
 	answer := func(w http.ResponseWriter, _ standin.Run) {
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestOwnersShareAlike(t *testing.T) {
+func TestOwnersShareEvenly(t *testing.T) {
 	slots := []string{"ep-1", "ep-2", "ep-3"}
 	count := make(map[string]int)
 	for i := range 3000 {
@@ -30,10 +30,10 @@
 		chosen := Owner(slots, key, "place")
 		shuffled := rapid.Permutation(slots).Draw(t, "shuffled")
 		assert.Equal(t, Owner(shuffled, key, "place"), chosen)
-		gone := slots[rapid.IntRange(0, len(slots)-1).Draw(t, "gone")]
-		left := slices.DeleteFunc(slices.Clone(slots), func(s string) bool { return s == gone })
-		if gone != chosen {
-			assert.Equal(t, Owner(left, key, "place"), chosen)
+		removed := slots[rapid.IntRange(0, len(slots)-1).Draw(t, "gone")]
+		remaining := slices.DeleteFunc(slices.Clone(slots), func(s string) bool { return s == removed })
+		if removed != chosen {
+			assert.Equal(t, Owner(remaining, key, "place"), chosen)
 		}
 	})
 }
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -23,7 +23,7 @@
 	MethodPlaced = "dispatch.placed"
 )
 
-// Note is a message about a job from an entry to the queue owner.
+// Note is a message about a job from the process that submitted it to the queue owner.
 type Note struct {
 	Ticket string `json:"ticket"`
 	// Served is true if the model engine served the request; it is only used with MethodDone.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -150,7 +150,9 @@
 	s.handle(func(now time.Time, c *dispatch.Core) { c.Done(now, ticket, served) })
 }
 
-// Placed records which prompts engines have read, according to the entries.
+// Placed records which prompts engines have read, as reported by the processes that
+// sent them.
+//
 func (s *Scheduler) Placed(placements []dispatch.Placement) {
 	s.handle(func(_ time.Time, c *dispatch.Core) { c.Placed(placements) })
 }
--- a/suspect/content.go
+++ b/suspect/content.go
@@ -13,8 +13,8 @@
 	epoch uint64
 	// counts holds the crashes in the current epoch.
 	counts map[countKey]*crashCount
-	// quarantinedUntil is zero if the content was not quarantined since it was last cleared
-	// or last expired.
+	// quarantinedUntil is the end of the latest quarantine. It is zero if there was none, or
+	// none since the content was cleared or all of its counts expired.
 	quarantinedUntil time.Time
 	// isSuspect is true if the shard counts the content among its suspects.
 	isSuspect bool
