--- a/fleet/acks.go
+++ b/fleet/acks.go
@@ -52,9 +52,10 @@
 	return max(0, span)
 }
 
-// ownerDeaf reports whether the owner receives the heartbeats neither of this process
-// nor of another member of this failure domain. Those of a single member may be delayed
-// on its own congested link, which another owner would not change.
+// ownerDeaf reports whether the owner does not receive this process's heartbeats and
+// another member of this failure domain, if there is one, suspects the owner too. The
+// heartbeats of a single member may be delayed on its own congested link, which another
+// owner would not change.
 func (c *Core) ownerDeaf(now time.Time) bool {
 	return c.ownerUnackedFor() >= ownerUnackedTimeout && c.domainSuspectsOwner(now)
 }
