--- a/discovery/evacuation_test.go
+++ b/discovery/evacuation_test.go
@@ -139,7 +139,7 @@
 
 // Endpoints of a domain whose evacuation has ended are cold and crash under the load that
 // they had before. The heartbeat in which they report it comes too late.
-func TestTakenBackDomainIsCold(t *testing.T) {
+func TestDomainIsColdAfterEvacuation(t *testing.T) {
 	const config = `{"version":1,"routes":[],"services":[{"name":"s","cold_start_s":3,"cold_per_s":11}]}`
 	now := time.Now()
 	state := discovery.NewState()
@@ -161,7 +161,7 @@
 }
 
 // An endpoint reports how long it stays cold; a later entry replaces the report.
-func TestEndpointThatSaysItIsCold(t *testing.T) {
+func TestEndpointReportsItIsCold(t *testing.T) {
 	const config = `{"version":1,"routes":[],"services":[{"name":"s","cold_start_s":3,"cold_per_s":11}]}`
 	now := time.Now()
 	state := discovery.NewState()
--- a/discovery/follower_test.go
+++ b/discovery/follower_test.go
@@ -129,7 +129,7 @@
 }
 
 // All endpoints must be known if there are more than one page of the list holds.
-func TestPages(t *testing.T) {
+func TestListOfSeveralPages(t *testing.T) {
 	store := standin.NewStore()
 	putConfig(store, 1)
 	for i := range 130 {
@@ -157,7 +157,7 @@
 
 // Guards against a revoked key that one gateway still accepts because the store answers
 // other processes but not this one. The process must read the changes from a peer.
-func TestStoreTurnsThisProcessAway(t *testing.T) {
+func TestStoreRefusesThisProcess(t *testing.T) {
 	store := standin.NewStore()
 	store.Before(func(string) bool { return false })
 	peer := stubRelay{at: 9, items: []platform.Item{
--- a/discovery/foreign_test.go
+++ b/discovery/foreign_test.go
@@ -339,7 +339,7 @@
 
 // A fleet that starts without a valid configuration must not be ready, and must become ready
 // with the first valid one.
-func TestNoConfigurationButABadOne(t *testing.T) {
+func TestOnlyAnInvalidConfiguration(t *testing.T) {
 	for name, value := range badConfigs {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/discovery/incarnation_test.go
+++ b/discovery/incarnation_test.go
@@ -64,7 +64,7 @@
 
 // Processes keep state per process of an endpoint. After a restart the view must contain the
 // new process instead of the old one, so that the old one is recognised as gone.
-func TestViewNamesProcesses(t *testing.T) {
+func TestViewIdentifiesProcesses(t *testing.T) {
 	s := NewState()
 	apply(t, s, epoch, config(1, 1), bornItem("a", 2, 10, "ready"), listed("b", 3))
 	view := s.View(epoch)
--- a/discovery/state_test.go
+++ b/discovery/state_test.go
@@ -63,7 +63,7 @@
 
 // As above, but the endpoint does not register again: it is gone and must get no more work
 // within the bound for leaving endpoints (2 s).
-func TestLapseEnds(t *testing.T) {
+func TestLapseGraceEnds(t *testing.T) {
 	s := NewState()
 	apply(t, s, epoch, config(1, 1), listed("a", 2), listed("b", 3))
 	s.NoteTrouble(epoch)
@@ -81,7 +81,7 @@
 
 // An older list from a peer that does not reach the store must not restore an endpoint that
 // has left.
-func TestOldListDoesNotBringBack(t *testing.T) {
+func TestOldListDoesNotRestoreEndpoints(t *testing.T) {
 	s := NewState()
 	apply(t, s, epoch, config(1, 1), listed("a", 2), removed("a", 5), listed("a", 2))
 	assert.Assert(t, s.View(epoch).Endpoint("a") == nil)
@@ -89,7 +89,7 @@
 
 // A complete list removes the endpoints that are missing from it, except those that were
 // written after it.
-func TestListedRemovesWhatIsMissing(t *testing.T) {
+func TestApplyListRemovesMissingEndpoints(t *testing.T) {
 	s := NewState()
 	apply(t, s, epoch, listed("a", 2), listed("new", 9))
 	s.ApplyList(epoch, []platform.Item{config(1, 1), listed("b", 3)}, 5)
@@ -112,7 +112,7 @@
 // Another writer overwrites the entry of a running endpoint. The endpoint must get no new
 // work but stay in the view, so that its results and streams are not abandoned at once. When
 // its heartbeat has written the entry again, it must be in use as before.
-func TestSpoiledEndpointComesBack(t *testing.T) {
+func TestOverwrittenEndpointIsRestored(t *testing.T) {
 	for revision := uint64(3); revision < 6; revision++ {
 		s := NewState()
 		apply(t, s, epoch, config(1, 1), listed("a", 2))
@@ -130,7 +130,7 @@
 // As above, but the endpoint does not write its entry again: it must leave the view after
 // unusableGrace, however often the other writer repeats its write, and at once if the
 // unusable entry is removed.
-func TestSpoiledEndpointEnds(t *testing.T) {
+func TestOverwrittenEndpointExpires(t *testing.T) {
 	s := NewState()
 	apply(t, s, epoch, config(1, 1), listed("a", 2), listed("b", 3))
 	s.Apply(epoch, unusable("a", 4))
@@ -146,7 +146,7 @@
 
 // Peers must learn of unusable entries, or they would go on sending work to the endpoint.
 // They must not get the value, which may be too large for a message between peers.
-func TestPeersHearOfSpoiledEntries(t *testing.T) {
+func TestPeersReceiveUnusableEntries(t *testing.T) {
 	s := NewState()
 	apply(t, s, epoch, config(1, 1), listed("a", 2))
 	bad := platform.Item{Key: platform.PrefixEndpoints + "a", Revision: 3, Value: make([]byte, 1<<20)}
--- a/fleet/acks_test.go
+++ b/fleet/acks_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestUnheardMemberDoesNotMoveTheQueue guards against a single member whose congested
+// TestDelayedMemberDoesNotReplaceTheOwner guards against a single member whose congested
 // link delays its heartbeats and that makes the whole fleet replace its owner.
-func TestUnheardMemberDoesNotMoveTheQueue(t *testing.T) {
+func TestDelayedMemberDoesNotReplaceTheOwner(t *testing.T) {
 	w := newDomains(3)
 	w.steps(4 * idleHeartbeatRounds)
 	owner := w.oneOwner(t)
--- a/fleet/core_test.go
+++ b/fleet/core_test.go
@@ -179,7 +179,7 @@
 // Guards against a frozen VM that is not the owner and that on resuming considers all
 // others lost, because it has heard nobody for seconds, and claims the queue with a higher
 // term that the whole fleet follows.
-func TestWokenProcessDoesNotClaimTheQueue(t *testing.T) {
+func TestResumedProcessDoesNotClaimTheQueue(t *testing.T) {
 	w := newWorld("a", "b", "c", "d")
 	w.steps(2 * idleHeartbeatRounds)
 	owner := w.oneOwner(t)
@@ -406,7 +406,7 @@
 
 // A member that was cut off asks whether the store has answered others without
 // interruption. What a silent member reported earlier must not count.
-func TestOthersSteady(t *testing.T) {
+func TestOthersStoreSteady(t *testing.T) {
 	w := newWorld("a", "b", "c")
 	w.steps(10)
 	assert.Assert(t, !w.cores["a"].OthersStoreSteady(w.now))
--- a/fleet/hubs_test.go
+++ b/fleet/hubs_test.go
@@ -140,7 +140,7 @@
 // 150 gateways start at once, as after a power failure, and users wait until the fleet has
 // one queue. Within seconds all members must follow the same owner and know the size of the
 // fleet, and each must keep a few connections instead of one to every other member.
-func TestLargeFleetStartsAsOne(t *testing.T) {
+func TestLargeFleetStartsAtOnce(t *testing.T) {
 	w := newSparseWorld(150, sparseSeeds...)
 	w.steps(6 * time.Second)
 	assert.Equal(t, len(w.owners()), 1, "owners: %v", w.owners())
