--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -8,102 +8,108 @@
 )
 
 const (
-	// fillShare is the part of a pool's places that calls use in practice.
+	// fillShare is the fraction of a pool's piece places that calls use in practice.
 	fillShare = 0.9
-	// lateFactor over the route's objective is the time within which the backlog
-	// of equal or more urgent work must be worked off for a job that misses its
-	// objective to be taken. It does not grow with the deadline, which is
-	// longest for the least urgent. A client that was refused before has only
-	// this try left.
+	// lateFactor and lateFactorAgain, times the route's objective, bound the time to
+	// work off the backlog of equally or more urgent work if a late job is to be
+	// admitted. The bound does not grow with the deadline, which is longest for the
+	// least urgent jobs. lateFactorAgain is for clients that were refused before: they
+	// have only this try left.
 	lateFactor      = 0.4
 	lateFactorAgain = 1.6
-	// urgencyMargin is what each step of priority adds to the time that a job
-	// must have to spare, so that the less urgent are refused first.
+	// urgencyMargin is the slack required for each step of priority, so that less
+	// urgent jobs are refused first.
 	urgencyMargin = 80 * time.Millisecond
-	// freeShare is the part of the objective up to which a refusal costs the
-	// client nothing: it can still come back in time.
-	freeShare = 0.125
-	// takenHalfLife is the time in which the count of pieces that were taken
-	// halves; spareMin keeps the quotient finite.
-	takenHalfLife = time.Second
-	spareMin      = 0.02
-	// holdWeight is the share of the newest result in a pool's hold time.
-	holdWeight = 0.1
-	// biasWeight is the share of the newest stage in a pool's forecast error.
-	biasWeight = 0.08
-	// biasHalfLife is the time in which the error halves without new evidence.
-	biasHalfLife = time.Second
-	// sizeWeight is the share of the newest job in the mean size of its route.
+	// freeRefusalShare is the fraction of the objective within which a refusal costs
+	// the client nothing: it can still retry in time.
+	freeRefusalShare = 0.125
+	// admittedHalfLife is the half-life of the count of admitted pieces.
+	// lateCapacityMin is the lower bound of lateCapacity, which keeps divisions by it
+	// finite.
+	admittedHalfLife = time.Second
+	lateCapacityMin  = 0.02
+	// holdTimeWeight is the weight of the newest result in a pool's average hold time.
+	holdTimeWeight = 0.1
+	// forecastErrorWeight is the weight of the newest stage in a pool's forecast
+	// error.
+	forecastErrorWeight = 0.08
+	// forecastErrorHalfLife is the half-life of the forecast error without new
+	// observations.
+	forecastErrorHalfLife = time.Second
+	// sizeWeight is the weight of the newest job in the mean size of its route.
 	sizeWeight = 0.05
 )
 
-// clear is the time that the pool needs for the backlog, and what it is short
-// of: the places of its calls, or the memory that results take until they are read.
-func (p *pool) clear(b sumtree.Amount) (time.Duration, Resource) {
-	workers := p.width()
+// backlogTime returns the time that the pool needs for a backlog, and its scarcer
+// resource: places in calls, or the memory that results occupy until they are
+// read.
+func (p *pool) backlogTime(b sumtree.Amount) (time.Duration, Resource) {
+	workers := p.allowedWorkers()
 	if workers == 0 {
 		return time.Hour, ResourceEndpoints
 	}
 	places := float64(workers*p.spec.Items) * fillShare
-	calls := time.Duration(float64(p.took) * float64(b.Pieces) / places)
+	calls := time.Duration(float64(p.avgCallTime) * float64(b.Pieces) / places)
 	memory := float64(p.spec.Room) * float64(workers)
 	if memory <= 0 {
 		return calls, ResourceCalls
 	}
-	read := time.Duration(float64(p.hold) * float64(b.Bytes) / memory)
+	read := time.Duration(float64(p.avgHoldTime) * float64(b.Bytes) / memory)
 	if read > calls {
 		return read, ResourceMemory
 	}
 	return calls, ResourceCalls
 }
 
-// countTaken notes the pieces of a job that is taken to be in time.
-func (c *Core) countTaken(j *job, now time.Time) {
+// countAdmitted counts the pieces of a job that was admitted as on time.
+func (c *Core) countAdmitted(j *job, now time.Time) {
 	for _, s := range j.stages {
 		if s.Pieces > 0 {
 			p := c.pools[s.Service]
-			p.taken = p.takenAt(now) + float64(s.Pieces)
-			p.takenFrom = now
+			p.admittedPieces = p.admittedPiecesAt(now) + float64(s.Pieces)
+			p.admittedAsOf = now
 		}
 	}
 }
 
-// takenAt is the decaying count of pieces of jobs in time.
-func (p *pool) takenAt(now time.Time) float64 {
-	age := now.Sub(p.takenFrom).Seconds() / takenHalfLife.Seconds()
-	return p.taken * math.Exp2(-age)
+// admittedPiecesAt returns the decaying count of admitted pieces of jobs on time.
+func (p *pool) admittedPiecesAt(now time.Time) float64 {
+	age := now.Sub(p.admittedAsOf).Seconds() / admittedHalfLife.Seconds()
+	return p.admittedPieces * math.Exp2(-age)
 }
 
-// spare is the part of the pool's calls that jobs in time leave to late ones.
-func (p *pool) spare(now time.Time) float64 {
-	places := float64(p.width()*p.spec.Items) * fillShare / p.took.Seconds()
-	rate := p.takenAt(now) * math.Ln2 / takenHalfLife.Seconds()
+// lateCapacity returns the fraction of the pool's capacity that jobs on time leave
+// to late ones.
+func (p *pool) lateCapacity(now time.Time) float64 {
+	places := float64(p.allowedWorkers()*p.spec.Items) * fillShare / p.avgCallTime.Seconds()
+	rate := p.admittedPiecesAt(now) * math.Ln2 / admittedHalfLife.Seconds()
 	if places <= 0 {
-		return spareMin
+		return lateCapacityMin
 	}
-	return max(spareMin, 1-rate/places)
+	return max(lateCapacityMin, 1-rate/places)
 }
 
-// tight returns the first pool in which the job would start too late to meet
-// its objective, or nil.
-func (c *Core) tight(j *job, now time.Time) *pool {
+// firstLatePool returns the first pool in which the job would start too late to
+// meet its objective, or nil. It sets the forecasts of the stages up to that one,
+// and what the job is short of there.
+func (c *Core) firstLatePool(j *job, now time.Time) *pool {
 	for _, s := range j.stages {
 		if s.Pieces == 0 {
 			continue
 		}
 		p := c.pools[s.Service]
-		ahead := p.demand.inTime.UpTo(s.startBy)
-		wait, short := p.clear(ahead)
-		s.forecast = now.Add(wait + c.lag)
+		ahead := p.demand.onTime.UpTo(s.startBy)
+		wait, short := p.backlogTime(ahead)
+		s.forecastStart = now.Add(wait + c.lag)
 		for _, a := range s.After {
 			if before := j.stages[a]; before.Pieces > 0 {
-				s.forecast = later(s.forecast, before.forecast.Add(c.pools[before.Service].took))
+				s.forecastStart = later(s.forecastStart, before.forecastStart.Add(c.pools[before.Service].avgCallTime))
 			}
 		}
-		margin := p.biasAt(now) + time.Duration(j.Priority)*urgencyMargin
-		if s.forecast.Add(margin).After(s.startBy) {
-			j.queue, j.short = p.name, short
-			j.behind = s.forecast.Add(margin).Sub(s.startBy)
+		margin := p.forecastErrorAt(now) + time.Duration(j.Priority)*urgencyMargin
+		if s.forecastStart.Add(margin).After(s.startBy) {
+			j.shortService, j.shortResource = p.name, short
+			j.lateBy = s.forecastStart.Add(margin).Sub(s.startBy)
 			return p
 		}
 	}
@@ -117,69 +123,72 @@
 	return b
 }
 
-// began learns how far the forecast of a stage's start was off: what it does
-// not see are calls under way, pieces that fit no idle endpoint, and the jobs
-// that went before although they came later.
-func (p *pool) began(s *stage, now time.Time) {
-	if s.forecast.IsZero() || s.job.late {
+// learnForecastError updates the forecast error from the start of a stage's last
+// pieces. The forecast does not consider calls in flight, pieces that fit no idle
+// endpoint, and jobs that came later but went first.
+func (p *pool) learnForecastError(s *stage, now time.Time) {
+	if s.forecastStart.IsZero() || s.job.late {
 		return
 	}
-	bias := p.biasAt(now)
-	off := now.Sub(s.forecast)
-	p.bias = max(0, bias+time.Duration(biasWeight*float64(off-bias)))
-	p.biasFrom = now
+	bias := p.forecastErrorAt(now)
+	off := now.Sub(s.forecastStart)
+	p.forecastError = max(0, bias+time.Duration(forecastErrorWeight*float64(off-bias)))
+	p.forecastErrorAsOf = now
 }
 
-// biasAt is the forecast error at now. It fades without new evidence: a large
-// one keeps all jobs out that could show that it no longer holds.
-func (p *pool) biasAt(now time.Time) time.Duration {
-	age := now.Sub(p.biasFrom).Seconds() / biasHalfLife.Seconds()
-	return time.Duration(float64(p.bias) * math.Exp2(-age))
+// forecastErrorAt returns the forecast error at now. It decays without new
+// observations: otherwise a large error would keep out all jobs that could show
+// that it no longer holds.
+func (p *pool) forecastErrorAt(now time.Time) time.Duration {
+	age := now.Sub(p.forecastErrorAsOf).Seconds() / forecastErrorHalfLife.Seconds()
+	return time.Duration(float64(p.forecastError) * math.Exp2(-age))
 }
 
-// admit decides, before the first piece, whether the job is taken, so that no
-// work is done for requests that end in vain. Of jobs that cannot all meet
-// their objectives the less urgent, and of those the smaller, give way.
+// admit decides before the first piece whether the job is accepted, so that no
+// work is done for requests that would be given up later. If not all jobs can meet
+// their objectives, the less urgent are displaced first, and among equally urgent
+// ones those with the lower density.
 func (c *Core) admit(j *job, now time.Time) bool {
 	for {
-		p := c.tight(j, now)
+		p := c.firstLatePool(j, now)
 		if p == nil {
-			c.countTaken(j, now)
-			c.mayGiveWay(j)
+			c.countAdmitted(j, now)
+			c.addDisplaceable(j)
 			return true
 		}
 		victim := p.victim(j)
 		if victim == nil {
 			break
 		}
-		victim.lacks(p, j.short)
-		c.giveWay(victim, now)
+		victim.recordShortage(p, j.shortResource)
+		c.displace(victim, now)
 	}
-	return c.takeLate(j, now)
+	return c.admitLate(j, now)
 }
 
-// victim is the job that gives way to j in the pool: one without any piece
-// made that is worth less for its place. Nil if there is none.
+// victim returns the job that j displaces in the pool: one that has not started
+// and ranks lower. It returns nil if there is none.
 func (p *pool) victim(j *job) *job {
-	o := p.demand.yielding.least()
-	if o == nil || !j.outweighs(o, p) {
+	o := p.demand.displaceableJobs.lowest()
+	if o == nil || !j.outranks(o, p) {
 		return nil
 	}
 	return o
 }
 
-// mayGiveWay notes a job that was taken to be in time.
-func (c *Core) mayGiveWay(j *job) {
+// addDisplaceable adds an on-time job to the displaceable jobs of its pools.
+func (c *Core) addDisplaceable(j *job) {
 	for i, s := range j.stages {
-		if s.Pieces > 0 && !j.usesBefore(i) {
+		if s.Pieces > 0 && !j.hasEarlierStageOf(i) {
 			p := c.pools[s.Service]
-			p.demand.yielding.add(j, p)
+			p.demand.displaceableJobs.add(j, p)
 		}
 	}
 }
 
-// usesBefore tells whether a stage before stage i has pieces for its service.
-func (j *job) usesBefore(i int) bool {
+// hasEarlierStageOf reports whether a stage before stage i has pieces for the same
+// service.
+func (j *job) hasEarlierStageOf(i int) bool {
 	for _, s := range j.stages[:i] {
 		if s.Service == j.stages[i].Service && s.Pieces > 0 {
 			return true
@@ -188,16 +197,17 @@
 	return false
 }
 
-// outweighs tells whether j goes before o where the pool cannot serve both: by
-// urgency, then by size against the usual size on the route for each piece.
-func (j *job) outweighs(o *job, p *pool) bool {
+// outranks reports whether j goes before o if the pool cannot serve both: the more
+// urgent one does, or the one of clearly higher density if they are equally
+// urgent.
+func (j *job) outranks(o *job, p *pool) bool {
 	if j.Priority != o.Priority {
 		return j.Priority < o.Priority
 	}
 	return j.density(p) > o.density(p)*weightMargin
 }
 
-// density is the job's weight for each piece that the pool makes for it.
+// density returns the job's weight for each piece that it needs from the pool.
 func (j *job) density(p *pool) float64 {
 	pieces := 0
 	for _, s := range j.stages {
@@ -208,67 +218,68 @@
 	return (baseWeight + j.weight) / float64(max(1, pieces))
 }
 
-// baseWeight is what any job counts beside its size, in usual sizes: a small
-// answer is worth more to its user than its share of the tokens.
+// baseWeight is added to each job's relative size: a small answer is worth more to
+// its user than its share of the tokens.
 const baseWeight = 0.43
 
-// weightMargin keeps jobs of about the same size from displacing each other.
+// weightMargin keeps jobs of similar density from displacing each other.
 const weightMargin = 1.5
 
-// lacks notes what a job is late for; the first cause stands.
-func (j *job) lacks(p *pool, short Resource) {
-	if j.queue == "" {
-		j.queue, j.short = p.name, short
+// recordShortage records what the job is short of; the first cause is kept.
+func (j *job) recordShortage(p *pool, short Resource) {
+	if j.shortService == "" {
+		j.shortService, j.shortResource = p.name, short
 	}
 }
 
-// giveWay puts a job behind those in time, or refuses it while that costs its
-// client nothing.
-func (c *Core) giveWay(j *job, now time.Time) {
+// displace marks a job as late. While a refusal still costs its client nothing, it
+// refuses the job unless admitLate accepts it.
+func (c *Core) displace(j *job, now time.Time) {
 	j.late = true
-	j.book()
-	if now.Sub(j.submitted) <= time.Duration(freeShare*float64(j.Objective)) && !c.takeLate(j, now) {
+	j.updateDemand()
+	if now.Sub(j.submitted) <= time.Duration(freeRefusalShare*float64(j.Objective)) && !c.admitLate(j, now) {
 		c.refuse(j, ReasonOverload, now)
 	}
 }
 
-// takeLate tells whether a job that misses its objective can still be served
-// well within its deadline.
-func (c *Core) takeLate(j *job, now time.Time) bool {
+// admitLate marks the job as late and reports whether it can still be served well
+// within its deadline.
+func (c *Core) admitLate(j *job, now time.Time) bool {
 	j.late = true
-	j.book()
+	j.updateDemand()
 	limit := time.Duration(lateFactor * float64(j.Usual))
 	if j.Again {
-		limit = min(time.Duration(lateFactorAgain*float64(j.Usual)), time.Duration(deadlineShare*float64(j.deadlineAt.Sub(now))))
+		limit = min(time.Duration(lateFactorAgain*float64(j.Usual)), time.Duration(stageDeadlineShare*float64(j.deadlineAt.Sub(now))))
 	}
 	for _, s := range j.stages {
 		if s.Pieces == 0 {
 			continue
 		}
 		p := c.pools[s.Service]
-		wait, short := p.clear(p.demand.upTo(j.Priority))
-		if time.Duration(float64(wait)/p.spare(now)) > limit {
-			j.lacks(p, short)
+		wait, short := p.backlogTime(p.demand.sumUpTo(j.Priority))
+		if time.Duration(float64(wait)/p.lateCapacity(now)) > limit {
+			j.recordShortage(p, short)
 			return false
 		}
 	}
 	return true
 }
 
-// weigh sets the job's size against the usual size on its route.
-func (c *Core) weigh(j *job) {
+// updateWeight sets the job's weight from the mean size on its route, and updates
+// that mean.
+func (c *Core) updateWeight(j *job) {
 	size := float64(promptTokens(j) + outputWeight*j.TokensOut)
-	mean := c.sizes[j.Route]
+	mean := c.meanSizes[j.Route]
 	if mean == 0 {
 		mean = size
 	}
 	mean += sizeWeight * (size - mean)
-	c.sizes[j.Route] = mean
+	c.meanSizes[j.Route] = mean
 	j.weight = 1
 	if mean > 0 {
 		j.weight = size / mean
 	}
 }
 
-// outputWeight is what an output token costs against one of the prompt.
+// outputWeight is the cost of an output token relative to a prompt token.
 const outputWeight = 10
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// BenchmarkBatch measures one decision of a stage queue with waiting pieces.
+// BenchmarkBatch measures building one call from a queue of waiting pieces.
 func BenchmarkBatch(b *testing.B) {
 	for _, waiting := range []int{8, 100, 2000} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
@@ -18,23 +18,23 @@
 			for i := range waiting / 8 {
 				j := newJob(testJob(fmt.Sprint(i)), epoch)
 				s := j.stages[2]
-				s.since = epoch
+				s.readyAt = epoch
 				s.startBy = epoch.Add(time.Duration(i) * time.Millisecond)
 				p.push(s)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				pieces := p.batch(p.workers[0], epoch)
+				pieces := p.nextBatch(p.workers[0], epoch)
 				c.putBack(pieces)
 			}
 		})
 	}
 }
 
-// putBack undoes a batch.
-func (c *Core) putBack(pieces []placed) {
+// putBack requeues the pieces of a batch.
+func (c *Core) putBack(pieces []callPiece) {
 	for _, piece := range pieces {
-		c.wait(piece.stage, []int{piece.index})
+		c.requeuePieces(piece.stage, []int{piece.index})
 	}
 }
 
@@ -48,14 +48,14 @@
 			j.Prefix = []catalog.PrefixPart{{ID: "1", Tokens: 2000}, {ID: "2", Tokens: 3000}, {ID: "3", Tokens: 100}}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.engines[serviceModel].choose(j, nil, epoch)
+				c.modelEngines[serviceModel].choose(j, nil, epoch)
 			}
 		})
 	}
 }
 
-// BenchmarkTick measures one look at all that waits, with as many results kept
-// as the endpoints of one service have room for.
+// BenchmarkTick measures one tick with the given number of results recorded at the
+// endpoints of a service.
 func BenchmarkTick(b *testing.B) {
 	for _, results := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(results), func(b *testing.B) {
@@ -64,7 +64,7 @@
 			p := c.pools[serviceLight]
 			for i := range results {
 				w := p.workers[i%len(p.workers)]
-				w.keep(&result{bytes: 1}, epoch)
+				w.addResult(&result{bytes: 1}, epoch)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/dispatch/cache.go
+++ b/dispatch/cache.go
@@ -6,8 +6,8 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// prefixCache is what an engine is believed to keep of prompts: the parts that
-// were sent to it, the least recently used yielding first.
+// prefixCache estimates which parts of prompts an engine has cached: those that
+// were sent to it, in LRU order.
 type prefixCache struct {
 	capacity int
 	tokens   int
@@ -24,8 +24,8 @@
 	return prefixCache{capacity: capacity, parts: make(map[string]*list.Element), order: list.New()}
 }
 
-// hit is the number of tokens at the start of the prompt that are cached. A
-// part counts only if all parts before it are cached too.
+// hit returns the number of tokens at the start of the prompt that are cached. A
+// part counts only if all parts before it are cached as well.
 func (c *prefixCache) hit(prefix []catalog.PrefixPart) int {
 	n := 0
 	for _, p := range prefix {
@@ -37,7 +37,8 @@
 	return n
 }
 
-// touch notes that an engine reads a prompt.
+// touch records that the engine reads a prompt, and evicts the least recently used
+// parts beyond the capacity.
 func (c *prefixCache) touch(prefix []catalog.PrefixPart) {
 	for _, p := range prefix {
 		if e, ok := c.parts[p.ID]; ok {
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// start sends one call.
-func (c *Core) start(p *pool, w *worker, pieces []placed, now time.Time) {
-	c.nextID++
-	cl := &call{id: c.nextID, worker: w, pieces: pieces, sentAt: now, expects: w.expect(len(pieces))}
+// startCall emits one call with the given pieces.
+func (c *Core) startCall(p *pool, w *worker, pieces []callPiece, now time.Time) {
+	c.lastEffectID++
+	cl := &call{id: c.lastEffectID, worker: w, pieces: pieces, sentAt: now, expectedTime: w.expectedCallTime(len(pieces))}
 	effect := StartCall{
 		Call: cl.id, Service: p.name, Waiting: p.waiting, Endpoint: w.endpoint.ID, Addr: w.endpoint.Addr,
 		Speed: w.speed, Suspect: w.suspect,
 	}
-	for _, placed := range pieces {
-		s := placed.stage
+	for _, callPiece := range pieces {
+		s := callPiece.stage
 		s.job.started = true
-		s.job.underway++
+		s.job.inFlight++
 		cl.bytes += s.ResultBytes
 		piece := Piece{
 			Request:   s.job.Request,
 			Stage:     s.index,
-			Index:     placed.index,
+			Index:     callPiece.index,
 			Inputs:    s.inputs,
 			Remaining: s.job.deadlineAt.Sub(now),
 		}
@@ -27,18 +27,18 @@
 		}
 		effect.Pieces = append(effect.Pieces, piece)
 	}
-	w.used += cl.bytes
+	w.usedMemory += cl.bytes
 	w.pace.Sent(now, w.endpoint)
 	w.calls[cl.id] = cl
-	p.window.underway++
+	p.callWindow.inFlight++
 	c.calls[cl.id] = cl
 	slow := max(1, min(w.speed, timeoutFactor))
-	effect.Timeout = time.Duration(float64(cl.expects)*timeoutFactor*slow) + timeoutSlack
+	effect.Timeout = time.Duration(float64(cl.expectedTime)*timeoutFactor*slow) + timeoutSlack
 	c.emit(effect)
 }
 
-// CallEnded takes the answer to a StartCall; outcomes are in the order of its
-// pieces and only read if fault is CallOK.
+// CallEnded handles the answer to a StartCall. outcomes has one entry for each
+// piece, in their order, and is only read if fault is CallOK.
 func (c *Core) CallEnded(now time.Time, id uint64, fault CallFault, outcomes []Outcome) {
 	cl := c.calls[id]
 	if cl == nil {
@@ -47,54 +47,54 @@
 	delete(c.calls, id)
 	w := cl.worker
 	delete(w.calls, id)
-	w.used -= cl.bytes
-	cl.ended(fault == CallOK || fault == CallLost)
+	w.usedMemory -= cl.bytes
+	cl.countEnded(fault == CallOK || fault == CallLost)
 	if p := c.pools[w.endpoint.Service]; p != nil {
 		p.changed = true
-		p.window.end(fault == CallRefused, p.took, p.places(), now)
+		p.callWindow.callEnded(fault == CallRefused, p.avgCallTime, p.callSlots(), now)
 	}
 	switch fault {
 	case CallOK:
-		c.callDone(cl, outcomes, now)
+		c.callSucceeded(cl, outcomes, now)
 	case CallRefused:
-		w.refused(now)
-		c.notRun(cl, now)
+		w.callRefused(now)
+		c.requeueNotRun(cl, now)
 	case CallOther:
-		c.loseWorker(w)
-		c.notRun(cl, now)
+		c.markRemoved(w)
+		c.requeueNotRun(cl, now)
 	case CallLost:
-		c.bookLost(cl, now)
-		w.overdue(cl, now)
-		c.requeue(cl, now, true)
+		c.reserveLost(cl, now)
+		w.callLost(cl, now)
+		c.requeueCall(cl, now, true)
 	}
 	c.dispatch(now)
 }
 
-// loseWorker notes that an endpoint is no longer the one that is listed.
-func (c *Core) loseWorker(w *worker) {
-	w.gone = true
+// markRemoved notes that another process now answers at an endpoint's address.
+func (c *Core) markRemoved(w *worker) {
+	w.removed = true
 	if p := c.pools[w.endpoint.Service]; p != nil {
 		p.countWorkers()
 	}
 }
 
-// ended counts the pieces of a call off.
-func (cl *call) ended(mayHaveRun bool) {
+// countEnded updates the jobs' counts of pieces in flight when a call ends.
+func (cl *call) countEnded(mayHaveRun bool) {
 	for _, placed := range cl.pieces {
 		j := placed.stage.job
-		j.underway--
+		j.inFlight--
 		j.mayHaveRun = j.mayHaveRun || mayHaveRun
 	}
 }
 
-// notRun puts the pieces of a call back that the endpoint did not run. Jobs of
-// which nothing has run have not started: they may give way again, and go to the
-// present owner of the queue if that is another process.
-func (c *Core) notRun(cl *call, now time.Time) {
-	c.requeue(cl, now, false)
+// requeueNotRun requeues the pieces of a call that the endpoint did not run. A job
+// of which nothing has run counts as not started: it may be displaced again, and
+// is moved if another process owns the queue now.
+func (c *Core) requeueNotRun(cl *call, now time.Time) {
+	c.requeueCall(cl, now, false)
 	for _, placed := range cl.pieces {
 		j := placed.stage.job
-		if j.ended || !j.started || j.underway > 0 || j.mayHaveRun {
+		if j.ended || !j.started || j.inFlight > 0 || j.mayHaveRun {
 			continue
 		}
 		j.started = false
@@ -102,36 +102,37 @@
 		case c.handedOver:
 			c.move(j, now)
 		case !j.late:
-			c.mayGiveWay(j)
+			c.addDisplaceable(j)
 		}
 	}
 }
 
-// bookLost keeps the room of a call that may still run: its results take
-// memory that nobody can free, until the endpoint drops them.
-func (c *Core) bookLost(cl *call, now time.Time) {
+// reserveLost keeps the memory of a lost call reserved. The call may still run,
+// and its results then occupy memory that nobody can free until the endpoint drops
+// them.
+func (c *Core) reserveLost(cl *call, now time.Time) {
 	r := &result{bytes: cl.bytes}
-	cl.worker.used += cl.bytes
-	cl.worker.keep(r, now.Add(cl.expects))
+	cl.worker.usedMemory += cl.bytes
+	cl.worker.addResult(r, now.Add(cl.expectedTime))
 }
 
-// callDone takes the results of a call and moves their jobs on.
-func (c *Core) callDone(cl *call, outcomes []Outcome, now time.Time) {
+// callSucceeded processes the outcomes of a call and advances its jobs.
+func (c *Core) callSucceeded(cl *call, outcomes []Outcome, now time.Time) {
 	w := cl.worker
 	took := now.Sub(cl.sentAt)
-	n := worked(outcomes)
-	w.answered()
+	n := countExecuted(outcomes)
+	w.callAnswered()
 	w.learn(took, n)
 	if p := c.pools[cl.pieces[0].stage.Service]; p != nil {
-		p.learnTook(took, n, len(outcomes))
-		p.learnRoom(withoutRoom(outcomes))
+		p.learnCallTime(took, n, len(outcomes))
+		p.learnMemoryShare(countNoMemory(outcomes))
 	}
 	var touched []*job
 	for i, placed := range cl.pieces {
 		s := placed.stage
 		if outcomes[i].Fault == FaultInputs && cl.sentAt.Before(s.job.lostAt) {
-			// Its inputs were lost meanwhile and are made again.
-			c.wait(s, []int{placed.index})
+			// Its inputs were lost after the call was sent and are being produced again.
+			c.requeuePieces(s, []int{placed.index})
 			continue
 		}
 		if outcomes[i].Fault != FaultNone {
@@ -152,8 +153,9 @@
 	}
 }
 
-// worked counts the pieces that the endpoint worked on, with success or not.
-func worked(outcomes []Outcome) int {
+// countExecuted counts the pieces that the endpoint worked on, successfully or
+// not.
+func countExecuted(outcomes []Outcome) int {
 	n := 0
 	for _, o := range outcomes {
 		if o.Fault == FaultNone || o.Fault == FaultWork {
@@ -163,7 +165,7 @@
 	return n
 }
 
-func withoutRoom(outcomes []Outcome) int {
+func countNoMemory(outcomes []Outcome) int {
 	n := 0
 	for _, o := range outcomes {
 		if o.Fault == FaultRoom {
@@ -173,63 +175,65 @@
 	return n
 }
 
-// pieceDone keeps one result, or gives it up if its job has ended.
-func (c *Core) pieceDone(w *worker, p placed, handle string, sentAt, now time.Time) {
+// pieceDone records the result of a piece, or frees it if the job has ended or the
+// piece has one already.
+func (c *Core) pieceDone(w *worker, p callPiece, handle string, sentAt, now time.Time) {
 	s := p.stage
-	r := &result{handle: handle, bytes: s.ResultBytes, since: sentAt}
-	w.used += r.bytes
-	w.keep(r, now)
+	r := &result{handle: handle, bytes: s.ResultBytes, reservedAt: sentAt}
+	w.usedMemory += r.bytes
+	w.addResult(r, now)
 	if s.job.ended || s.results[p.index] != nil {
 		c.free([]*result{r}, now)
 		return
 	}
 	s.results[p.index] = r
-	s.left--
+	s.missing--
 }
 
-// pieceFailed queues a piece again or ends its job.
-func (c *Core) pieceFailed(w *worker, p placed, fault Fault, now time.Time) {
+// pieceFailed requeues a piece or refuses its job.
+func (c *Core) pieceFailed(w *worker, p callPiece, fault Fault, now time.Time) {
 	s := p.stage
 	if s.job.ended {
 		return
 	}
-	s.tries++
+	s.failedTries++
 	switch {
-	case fault == FaultInputs || s.tries > maxTries:
+	case fault == FaultInputs || s.failedTries > maxFailedTries:
 		c.refuse(s.job, ReasonStageFailed, now)
 		return
 	case fault == FaultLate:
-		s.job.lacks(s.booking.pool, ResourceCalls)
+		s.job.recordShortage(s.demandEntry.pool, ResourceCalls)
 		c.refuse(s.job, ReasonDeadline, now)
 		return
 	case fault == FaultRoom:
-		// The books are off: somebody else's results lie there. It counts as a
-		// try: after a loss of all gateways that lasts for seconds, and jobs that
-		// are kept until they can be served hold up those after them.
-		w.pause.Hold(pauseRefused, now)
+		// The memory accounting is off: the endpoint keeps results that this owner does
+		// not know of. It counts as a failed try: after a loss of all gateways this lasts
+		// for seconds, and jobs that are kept until they can be served delay those after
+		// them.
+		w.pause.Hold(refusalPause, now)
 	case fault == FaultWork:
-		s.avoid = w.key
+		s.avoidKey = w.key
 	}
-	c.wait(s, []int{p.index})
+	c.requeuePieces(s, []int{p.index})
 }
 
-// wait puts pieces of s back into the queue, if their inputs are there.
-func (c *Core) wait(s *stage, indices []int) {
+// requeuePieces adds pieces of s to the waiting ones, and queues s if it is ready.
+func (c *Core) requeuePieces(s *stage, indices []int) {
 	p := c.pools[s.Service]
 	if p == nil {
 		return
 	}
 	p.remove(s)
 	s.waiting = append(s.waiting, indices...)
-	s.book()
-	if !s.since.IsZero() {
+	s.updateDemand()
+	if !s.readyAt.IsZero() {
 		p.push(s)
 	}
 }
 
-// requeue puts all pieces of a call back; tried says that the endpoint may
-// have run them, which counts as a try and lets another endpoint go first.
-func (c *Core) requeue(cl *call, now time.Time, tried bool) {
+// requeueCall requeues all pieces of a call. If tried is true, the endpoint may
+// have run them: this counts as a failed try, and another endpoint is preferred.
+func (c *Core) requeueCall(cl *call, now time.Time, tried bool) {
 	back := make(map[*stage][]int)
 	var order []*stage
 	for _, p := range cl.pieces {
@@ -243,13 +247,13 @@
 			continue
 		}
 		if tried {
-			s.tries++
-			s.avoid = cl.worker.key
+			s.failedTries++
+			s.avoidKey = cl.worker.key
 		}
-		if s.tries > maxTries {
+		if s.failedTries > maxFailedTries {
 			c.refuse(s.job, ReasonStageFailed, now)
 			continue
 		}
-		c.wait(s, back[s])
+		c.requeuePieces(s, back[s])
 	}
 }
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -12,11 +12,13 @@
 	"github.com/mangostage/mangostage/warm"
 )
 
-// coldRate is how many requests a second the cold endpoints of these tests bear.
+// coldRate is the request rate per second that a cold endpoint of these tests
+// accepts.
 const coldRate = 10.0
 
-// cold is the view in which the model engines of a domain are cold for a time.
-func cold(view *catalog.View, domain string, until time.Time) *catalog.View {
+// coldView returns the view in which the model engines of a failure domain are
+// cold until a time.
+func coldView(view *catalog.View, domain string, until time.Time) *catalog.View {
 	var endpoints []*catalog.Endpoint
 	for e := range view.All() {
 		next := *e
@@ -28,9 +30,9 @@
 	return catalog.NewView(view.Index, endpoints, view.Revision+1)
 }
 
-// flood submits jobs without stages, one each step, and counts the grants of a
-// domain in each second.
-func flood(w *world, domain string, jobs int, step time.Duration) map[int]int {
+// countGrants submits jobs without stages, one each step, and counts the grants to
+// engines of a failure domain in each second.
+func countGrants(w *simulation, domain string, jobs int, step time.Duration) map[int]int {
 	seconds := make(map[int]int)
 	for i := range jobs {
 		j := testJob(fmt.Sprint(i))
@@ -45,12 +47,13 @@
 	return seconds
 }
 
-// A failure domain comes back cold and empty. All requests went there, to the
-// engines with nothing to do, which crashed under them; they must get what they
-// bear, the others the rest, and all again once they are warm.
-func TestColdEnginesGetWhatTheyBear(t *testing.T) {
-	w := newWorld(cold(testView([]string{"north", "south"}, 1), "north", epoch.Add(3*time.Second)))
-	seconds := flood(w, "north", 1000, 5*time.Millisecond)
+// A failure domain returned cold and idle. All requests went to its engines, since
+// they had no load, and they crashed. Cold engines must only get the requests that
+// they accept, the others the rest, and all engines their full share once they are
+// warm.
+func TestColdEnginesAreRateLimited(t *testing.T) {
+	w := newSimulation(coldView(testView([]string{"north", "south"}, 1), "north", epoch.Add(3*time.Second)))
+	seconds := countGrants(w, "north", 1000, 5*time.Millisecond)
 	for at := range 3 {
 		n := seconds[at]
 		assert.Assert(t, n <= int(coldRate*warm.OwnerShare), "%d requests in second %d", n, at)
@@ -59,12 +62,12 @@
 	assert.Assert(t, seconds[4] > 2*coldRate, "only %d once it is warm", seconds[4])
 }
 
-// All engines are cold. What they do not bear waits, and is served in time or
-// refused; nothing is sent beyond what they bear.
-func TestAllEnginesAreCold(t *testing.T) {
-	w := newWorld(cold(testView([]string{"north"}, 1), "north", epoch.Add(time.Second)))
+// If all engines are cold, requests beyond their limit wait and are then served in
+// time.
+func TestRequestsWaitWhileAllEnginesAreCold(t *testing.T) {
+	w := newSimulation(coldView(testView([]string{"north"}, 1), "north", epoch.Add(time.Second)))
 	jobs := int(coldRate)
-	seconds := flood(w, "north", jobs, time.Millisecond)
+	seconds := countGrants(w, "north", jobs, time.Millisecond)
 	assert.Equal(t, seconds[0], int(coldRate*warm.OwnerShare))
 	w.run(1200 * time.Millisecond)
 	for i := range jobs {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -7,89 +7,93 @@
 )
 
 const (
-	// lateWait is how long a job that has missed its objective may wait for
-	// its first piece; then it is refused, while its client can still come back.
-	lateWait = 250 * time.Millisecond
-	// lateGiveUp is the part of the deadline for which a job that has missed
-	// its objective may wait for its first piece.
-	lateGiveUp = 0.3
-	// deadlineShare is the part of the deadline after which stages are given up.
-	deadlineShare = 0.6
-	// retryShare is the part of its deadline after which a refused client may
-	// come back at the earliest: a job that finds no place now finds none
-	// sooner than a burst lasts, and its client has only one try left.
-	retryShare = 0.3
+	// lateStartGrace is how long a stage must have been both ready and past its
+	// startBy before its job, of which nothing has started, is refused. The client can
+	// then still retry.
+	lateStartGrace = 250 * time.Millisecond
+	// lateGiveUpShare is the fraction of its deadline that a late job may wait for its
+	// first piece before it is refused.
+	lateGiveUpShare = 0.3
+	// stageDeadlineShare is the fraction of its deadline after which a job that has
+	// not been granted is refused.
+	stageDeadlineShare = 0.6
+	// retryAfterShare is the fraction of its deadline that a refused client is told to
+	// wait at least: a job that finds no capacity now finds none before the burst is
+	// over, and its client has only one retry left.
+	retryAfterShare = 0.3
 )
 
-// Core is the state of all jobs, stages and endpoints. It is not safe for
-// concurrent use; its shell serializes events.
+// Core holds the state of all jobs, stages and endpoints. It is not safe for
+// concurrent use; the scheduler serializes events.
 type Core struct {
 	jobs  map[string]*job
 	pools map[string]*pool
-	// byName are the pools in the order of their names.
-	byName  []*pool
-	engines map[string]*engines
-	calls   map[uint64]*call
-	// frees are the results given up whose endpoints have not answered yet.
-	frees map[uint64][]*result
-	// sizes is the usual size of the jobs of each route, in weighted tokens.
-	sizes  map[string]float64
-	nextID uint64
-	// share is the part of the fleet that gives its jobs to this owner, as far as
-	// it knows; salt tells its choices from those of other owners.
-	share float64
-	salt  uint64
-	// lag is a moving average of how late events are handled.
+	// sortedPools holds the pools sorted by name.
+	sortedPools  []*pool
+	modelEngines map[string]*modelEngines
+	calls        map[uint64]*call
+	// pendingFrees holds, by effect ID, the results whose Free the endpoint has not
+	// answered yet.
+	pendingFrees map[uint64][]*result
+	// meanSizes is the moving average of the job size of each route, in weighted
+	// tokens.
+	meanSizes    map[string]float64
+	lastEffectID uint64
+	// fleetShare is the fraction of the fleet whose jobs this owner receives, as far
+	// as it knows. salt makes its order of endpoints differ from that of other owners.
+	fleetShare float64
+	salt       uint64
+	// lag is the moving average of the delay with which events are handled.
 	lag time.Duration
-	// unreached are the failure domains that the owner does not reach.
+	// unreached are the failure domains that the owner cannot reach.
 	unreached []string
-	// handedOver is set while another process owns the queue.
+	// handedOver is true while another process owns the queue.
 	handedOver bool
-	// nextStage numbers the stages in the demand of the pools.
-	nextStage uint64
-	effects   []Effect
+	// lastStageID is the ID last given to a stage in the demand of a pool.
+	lastStageID uint64
+	effects     []Effect
 }
 
-// New returns a Core that knows no endpoints; name is that of its process.
+// New returns a Core without endpoints; name is the name of its process.
 func New(name string) *Core {
 	return &Core{
-		share:   1,
-		salt:    xxhash.Sum64String(name),
-		jobs:    make(map[string]*job),
-		pools:   make(map[string]*pool),
-		engines: make(map[string]*engines),
-		calls:   make(map[uint64]*call),
-		frees:   make(map[uint64][]*result),
-		sizes:   make(map[string]float64),
+		fleetShare:   1,
+		salt:         xxhash.Sum64String(name),
+		jobs:         make(map[string]*job),
+		pools:        make(map[string]*pool),
+		modelEngines: make(map[string]*modelEngines),
+		calls:        make(map[uint64]*call),
+		pendingFrees: make(map[uint64][]*result),
+		meanSizes:    make(map[string]float64),
 	}
 }
 
-// Promoted notes that this process has come to own the queue, and which part of
-// the fleet it hears. An owner that hears few begins with as few endpoints: the
-// rest of the fleet may have owners of its own.
+// Promoted notes that this process has become the queue owner and which fraction
+// of the fleet it is in contact with. An owner with few contacts starts with a
+// small call window: the rest of the fleet may have other owners.
 func (c *Core) Promoted(share float64) {
-	c.share = share
+	c.fleetShare = share
 	c.handedOver = false
 	for _, p := range c.pools {
-		p.window.bound(share, p.places())
+		p.callWindow.setLimit(share, p.callSlots())
 	}
 }
 
-// Share notes that the owner hears another part of the fleet. One that hears
-// less goes on as before: those that it has lost may be gone, and if they have an
-// owner of their own, the endpoints' refusals say so.
+// Share updates the fraction of the fleet that the owner is in contact with. A
+// smaller fraction changes nothing: the lost processes may be down, and if they
+// have another owner, refusals by the endpoints show it.
 func (c *Core) Share(share float64) {
 	c.handedOver = false
-	if share <= c.share {
+	if share <= c.fleetShare {
 		return
 	}
-	c.share = share
+	c.fleetShare = share
 	for _, p := range c.pools {
-		p.window.widen(share, p.places())
+		p.callWindow.raiseLimit(share, p.callSlots())
 	}
 }
 
-// Effects returns what the shell has to do since the last call.
+// Effects returns the effects since the last call and clears them.
 func (c *Core) Effects() []Effect {
 	effects := c.effects
 	c.effects = nil
@@ -98,7 +102,8 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-// Submit takes a job. It is granted or refused by a later effect.
+// Submit accepts a job. A later effect grants, moves or refuses it. It returns
+// ErrDuplicate if the ticket is in use.
 func (c *Core) Submit(now time.Time, j Job) error {
 	if _, ok := c.jobs[j.Ticket]; ok {
 		return ErrDuplicate.New("ticket %s", j.Ticket)
@@ -113,17 +118,17 @@
 	return nil
 }
 
-// plan checks that the job can be done at all and sets the times and domains
-// of its stages.
+// plan checks that endpoints for the job exist, sets the latest start of its
+// stages and decides on its admission. It reports false if the job was refused.
 func (c *Core) plan(j *job, now time.Time) bool {
-	if !c.engines[j.Service].usable() {
-		c.refuseUnserved(j, j.Service, now)
+	if !c.modelEngines[j.Service].usable() {
+		c.refuseNoEndpoint(j, j.Service, now)
 		return false
 	}
-	j.first = c.engines[j.Service].times.of(promptTokens(j))
-	if e := c.engines[j.Service].choose(j, nil, now); e != nil {
-		j.home = e.endpoint.Domain
-		j.first = e.times.of(e.unread(j))
+	j.firstEventTime = c.modelEngines[j.Service].times.estimate(promptTokens(j))
+	if e := c.modelEngines[j.Service].choose(j, nil, now); e != nil {
+		j.preferredDomain = e.endpoint.Domain
+		j.firstEventTime = e.times.estimate(e.uncachedTokens(j))
 	}
 	for _, s := range j.stages {
 		if s.Pieces == 0 {
@@ -135,17 +140,17 @@
 			return false
 		}
 		if p.usable == 0 {
-			c.refuseUnserved(j, p.name, now)
+			c.refuseNoEndpoint(j, p.name, now)
 			return false
 		}
 	}
 	for _, s := range j.stages {
-		s.startBy = j.aimAt.Add(-c.remaining(j, s.index) - j.first)
-		c.nextStage++
-		s.booking.pool, s.booking.id = c.pools[s.Service], c.nextStage
-		s.book()
+		s.startBy = j.objectiveAt.Add(-c.remainingTime(j, s.index) - j.firstEventTime)
+		c.lastStageID++
+		s.demandEntry.pool, s.demandEntry.id = c.pools[s.Service], c.lastStageID
+		s.updateDemand()
 	}
-	c.weigh(j)
+	c.updateWeight(j)
 	if !c.admit(j, now) {
 		c.refuse(j, ReasonOverload, now)
 		return false
@@ -153,14 +158,14 @@
 	return true
 }
 
-// remaining is the expected time from the start of stage i to the end of the
-// last stage that depends on it.
-func (c *Core) remaining(j *job, i int) time.Duration {
+// remainingTime returns the expected time from the start of stage i to the end of
+// the last stage that depends on it.
+func (c *Core) remainingTime(j *job, i int) time.Duration {
 	var longest time.Duration
 	for _, s := range j.stages {
 		for _, a := range s.After {
 			if a == i {
-				longest = max(longest, c.remaining(j, s.index))
+				longest = max(longest, c.remainingTime(j, s.index))
 			}
 		}
 	}
@@ -169,40 +174,40 @@
 		return longest
 	}
 	if p := c.pools[s.Service]; p != nil {
-		longest += p.took
+		longest += p.avgCallTime
 	}
 	return longest
 }
 
-// advance queues the stages that have become ready, and grants the job once
-// all are done.
+// advance queues the stages that have become ready, and grants the job once all
+// are done.
 func (c *Core) advance(j *job, now time.Time) {
 	if j.stagesDone() {
 		c.grant(j, now)
 		return
 	}
 	for _, s := range j.stages {
-		if s.queued || s.since != (time.Time{}) || s.Pieces == 0 || !j.ready(s) {
+		if s.queued || s.readyAt != (time.Time{}) || s.Pieces == 0 || !j.ready(s) {
 			continue
 		}
-		s.since = now
+		s.readyAt = now
 		s.inputs = j.collectInputs(s)
-		s.home = c.home(j, s)
+		s.preferredDomain = c.preferredDomain(j, s)
 		c.pools[s.Service].push(s)
 	}
 }
 
-// awaitsEngine tells whether a job is kept although its service has no engine
-// that takes work. Engines that were lost are back within seconds, and the
-// stages of a job that has begun would have to run again; giveUp bounds the wait.
-// Engines that leave do not come back.
+// awaitsEngine reports whether a job is kept although its service has no usable
+// engine. Engines that were lost usually return within seconds, and the stages of
+// a started job would have to run again; giveUp bounds the wait. Engines that are
+// draining do not return.
 func (c *Core) awaitsEngine(j *job) bool {
-	es := c.engines[j.Service]
+	es := c.modelEngines[j.Service]
 	return j.started && es != nil && len(es.all) == 0
 }
 
-// grant chooses the model engine, now that the results are there. While all
-// engines are cold and have got what they bear, the job waits for the next tick.
+// grant chooses the model engine, now that all results are available. While all
+// engines are cold and at their limit, the job waits for the next tick.
 func (c *Core) grant(j *job, now time.Time) {
 	inputs := make(map[string]int64)
 	for _, s := range j.stages {
@@ -213,17 +218,17 @@
 			inputs[r.worker.endpoint.Domain] += r.bytes
 		}
 	}
-	e := c.engines[j.Service].choose(j, inputs, now)
+	e := c.modelEngines[j.Service].choose(j, inputs, now)
 	if e == nil {
-		if !c.engines[j.Service].usable() && !c.awaitsEngine(j) {
-			c.refuseUnserved(j, j.Service, now)
+		if !c.modelEngines[j.Service].usable() && !c.awaitsEngine(j) {
+			c.refuseNoEndpoint(j, j.Service, now)
 		}
 		return
 	}
 	e.pace.Sent(now, e.endpoint)
 	j.engine = e
 	j.granted = now
-	c.engines[j.Service].read(e, j)
+	c.modelEngines[j.Service].assign(e, j)
 	c.emit(Grant{
 		Ticket:   j.Ticket,
 		Endpoint: e.key,
@@ -231,75 +236,76 @@
 		Inputs:   j.finalInputs(),
 		Sources:  j.sources(),
 		Waited:   now.Sub(j.submitted),
-		Slack:    j.aimAt.Sub(now) - j.first,
+		Slack:    j.objectiveAt.Sub(now) - j.firstEventTime,
 		Late:     j.late,
 	})
 }
 
-// FirstEvent notes that the model engine has begun to answer: it has read the
-// prompt and fetched its inputs, so their room is free for others.
+// FirstEvent notes that the model engine has sent its first event: it has read the
+// prompt and fetched its inputs, so the results are freed.
 func (c *Core) FirstEvent(now time.Time, ticket string) {
 	j := c.jobs[ticket]
 	if j == nil || j.engine == nil {
 		return
 	}
-	j.engine.firstEvent(ticket, now.Sub(j.granted), now)
+	j.engine.observeFirstEvent(ticket, now.Sub(j.granted), now)
 	c.freeAll(j, now)
 	c.dispatch(now)
 }
 
-// Done ends a granted job; served says whether the engine did its part.
+// Done ends a granted job. served is true if the engine served the request.
 func (c *Core) Done(now time.Time, ticket string, served bool) {
 	j := c.jobs[ticket]
 	if j == nil {
 		return
 	}
 	if j.engine != nil {
-		j.engine.learn(served, now)
+		j.engine.observeOutcome(served, now)
 	}
-	c.end(j, now)
+	c.finish(j, now)
 	c.dispatch(now)
 }
 
-// Cancel ends a job whose client has left, or whose entry has.
+// Cancel ends a job whose client, or the process that holds its client, has gone.
 func (c *Core) Cancel(now time.Time, ticket string) {
 	if j := c.jobs[ticket]; j != nil {
-		c.end(j, now)
+		c.finish(j, now)
 		c.dispatch(now)
 	}
 }
 
-// refuse ends a job that is not granted.
+// refuse ends a job that has not been granted.
 func (c *Core) refuse(j *job, reason Reason, now time.Time) {
 	if j.ended {
 		return
 	}
-	c.emit(Refuse{Ticket: j.Ticket, Reason: reason, RetryAfter: c.retryAfter(j), Queue: j.queue, Short: j.short, Behind: j.behind})
-	c.end(j, now)
+	c.emit(Refuse{Ticket: j.Ticket, Reason: reason, RetryAfter: c.retryAfter(j), Queue: j.shortService, Short: j.shortResource, Behind: j.lateBy})
+	c.finish(j, now)
 }
 
-// refuseUnserved ends a job for lack of endpoints of a service.
-func (c *Core) refuseUnserved(j *job, service string, now time.Time) {
-	j.queue, j.short = service, ResourceEndpoints
+// refuseNoEndpoint refuses a job because a service has no usable endpoint.
+func (c *Core) refuseNoEndpoint(j *job, service string, now time.Time) {
+	j.shortService, j.shortResource = service, ResourceEndpoints
 	c.refuse(j, ReasonNoEndpoint, now)
 }
 
-// retryAfter is about when the queues of the job's stages will have been worked off.
+// retryAfter estimates when the queues of the job's stages will have been worked
+// off.
 func (c *Core) retryAfter(j *job) time.Duration {
-	wait := time.Duration(retryShare * float64(j.Deadline))
+	wait := time.Duration(retryAfterShare * float64(j.Deadline))
 	for _, s := range j.stages {
 		p := c.pools[s.Service]
 		if p == nil || s.Pieces == 0 {
 			continue
 		}
-		places := max(1, p.width()) * p.spec.Items
-		wait = max(wait, time.Duration(float64(p.took)*float64(p.waiting)/float64(places)))
+		places := max(1, p.allowedWorkers()) * p.spec.Items
+		wait = max(wait, time.Duration(float64(p.avgCallTime)*float64(p.waiting)/float64(places)))
 	}
 	return wait
 }
 
-// end forgets a job and gives up all that it holds.
-func (c *Core) end(j *job, now time.Time) {
+// finish removes a job and frees everything that it holds.
+func (c *Core) finish(j *job, now time.Time) {
 	if j.ended {
 		return
 	}
@@ -310,9 +316,9 @@
 			p.remove(s)
 		}
 	}
-	j.book()
+	j.updateDemand()
 	if j.engine != nil {
-		j.engine.end(j.Ticket)
+		j.engine.finish(j.Ticket)
 	}
 	c.freeAll(j, now)
 }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestJobRunsThroughItsStages(t *testing.T) {
-	w := newWorld(testView([]string{"north", "south"}, 1))
+	w := newSimulation(testView([]string{"north", "south"}, 1))
 	w.submit(testJob("a"))
 	w.run(time.Second)
 	g, ok := w.grants["a"]
 	assert.Assert(t, ok)
 	assert.Equal(t, len(g.Inputs), 2+8, "the pieces of the stages that no other follows")
 	for _, h := range g.Inputs {
-		assert.Equal(t, w.made[h].request, "a")
-		assert.Assert(t, w.made[h].stage != 1)
+		assert.Equal(t, w.produced[h].request, "a")
+		assert.Assert(t, w.produced[h].stage != 1)
 	}
 	w.core.FirstEvent(w.now, "a")
 	w.core.Done(w.now, "a", true)
@@ -28,29 +28,29 @@
 	for h, n := range w.freed {
 		assert.Equal(t, n, 1, h)
 	}
-	assertBooksEmpty(t, w.core)
+	assertNothingReserved(t, w.core)
 }
 
-func assertBooksEmpty(t assert.TestingT, c *Core) {
+func assertNothingReserved(t assert.TestingT, c *Core) {
 	for _, p := range c.pools {
 		assert.Equal(t, p.waiting, 0)
 		assert.Equal(t, len(p.queue), 0)
 		for _, w := range p.workers {
-			assert.Equal(t, w.used, int64(0), w.endpoint.ID)
+			assert.Equal(t, w.usedMemory, int64(0), w.endpoint.ID)
 			assert.Equal(t, len(w.results), 0)
 		}
 	}
-	for _, es := range c.engines {
+	for _, es := range c.modelEngines {
 		for _, e := range es.all {
-			assert.Equal(t, e.prefill, 0)
-			assert.Equal(t, e.tokens, 0)
-			assert.Equal(t, len(e.runs), 0)
+			assert.Equal(t, e.prefillTokens, 0)
+			assert.Equal(t, e.requestTokens, 0)
+			assert.Equal(t, len(e.requests), 0)
 		}
 	}
 }
 
-func TestStageWithoutPiecesIsLeftOut(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+func TestStageWithoutPiecesIsSkipped(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
 	j := testJob("a")
 	j.Stages[0].Pieces = 0
 	w.submit(j)
@@ -59,19 +59,19 @@
 }
 
 func TestJobWithoutStagesIsGrantedAtOnce(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+	w := newSimulation(testView([]string{"north"}, 1))
 	j := testJob("a")
 	j.Stages = nil
 	w.submit(j)
 	assert.Equal(t, w.grants["a"].Endpoint, "model-north-0")
 }
 
-// An endpoint hangs and holds a whole call. Users whose pieces are in it wait
-// for nothing until their deadline unless the pieces go elsewhere.
+// An endpoint hangs with a full call. Its pieces must run elsewhere, or their
+// clients wait until their deadlines.
 func TestSilentEndpointLosesItsPieces(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 2))
+	w := newSimulation(testView([]string{"north"}, 2))
 	w.slow["encode-north-0"] = 1000
-	w.fate = func(c StartCall) (CallFault, Fault) {
+	w.decide = func(c StartCall) (CallFault, Fault) {
 		if c.Endpoint == "encode-north-0" {
 			return CallLost, FaultNone
 		}
@@ -82,30 +82,30 @@
 	assert.Assert(t, w.grants["a"].Ticket == "a")
 }
 
-// Results of lost calls fill the books of room, and a queue stands still for
-// good while its endpoints are idle: each booking needs an end of its own.
-func TestLostResultsLeaveTheBooks(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
-	w.fate = func(StartCall) (CallFault, Fault) { return CallLost, FaultNone }
+// If the memory reserved for lost calls were never released, the queue would stall
+// although its endpoints are idle: each reservation must expire.
+func TestLostResultsExpire(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
+	w.decide = func(StartCall) (CallFault, Fault) { return CallLost, FaultNone }
 	for i := range 20 {
 		w.submit(testJob(fmt.Sprint(i)))
 		w.run(200 * time.Millisecond)
 	}
 	w.run(20 * time.Second)
 	assert.Equal(t, len(w.core.jobs), 0)
-	assertBooksEmpty(t, w.core)
-	w.fate = nil
+	assertNothingReserved(t, w.core)
+	w.decide = nil
 	w.submit(testJob("after"))
 	w.run(2 * time.Second)
 	assert.Equal(t, w.grants["after"].Ticket, "after")
 }
 
-// A piece whose input is gone span thousands of times: made again as it is,
-// it fails again. Its job ends instead, at once.
-func TestGoneInputEndsTheJob(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+// A piece whose input was gone was requeued and failed thousands of times. Its job
+// must be refused at once.
+func TestMissingInputRefusesTheJob(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
 	calls := 0
-	w.fate = func(c StartCall) (CallFault, Fault) {
+	w.decide = func(c StartCall) (CallFault, Fault) {
 		if c.Service == serviceLight {
 			calls++
 			return CallOK, FaultInputs
@@ -118,23 +118,23 @@
 	assert.Equal(t, calls, 1)
 }
 
-// The client leaves while its pieces run: the results must be given up when
-// they come, or they hold room that others wait for.
-func TestCancelFreesWhatComesLater(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+// The client cancels while pieces are running. Their results must be freed when
+// they arrive, or they occupy memory that others wait for.
+func TestCancelFreesLateResults(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
 	w.submit(testJob("a"))
 	w.core.Cancel(w.now, "a")
 	w.drain()
 	w.run(time.Second)
 	assert.Equal(t, len(w.freed), 3)
-	assertBooksEmpty(t, w.core)
+	assertNothingReserved(t, w.core)
 }
 
-// The model engine was chosen before the stages ran and has begun to leave
-// meanwhile: the request must go to another.
+// The model engine expected at submission starts to drain while the stages run.
+// The request must go to another one.
 func TestLeavingEngineIsNotGranted(t *testing.T) {
 	view := testView([]string{"north"}, 2)
-	w := newWorld(view)
+	w := newSimulation(view)
 	w.submit(testJob("a"))
 	var endpoints []*catalog.Endpoint
 	for _, s := range []string{serviceModel, serviceHeavy, serviceLight} {
@@ -149,10 +149,10 @@
 	assert.Equal(t, w.grants["a"].Endpoint, "model-north-1")
 }
 
-// Another process owns the queue now. Jobs without a piece go there, begun ones
-// end here, since nobody else knows their results.
+// Another process becomes the queue owner. Jobs of which nothing has started move
+// there; started ones end here, since only this process knows their results.
 func TestHandOver(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+	w := newSimulation(testView([]string{"north"}, 1))
 	for i := range 12 {
 		j := testJob(fmt.Sprint(i))
 		j.Objective = 5 * time.Second
@@ -171,11 +171,11 @@
 	assert.Equal(t, moved+len(w.grants), 12)
 }
 
-// In a burst all requests came 100 to 300 ms too late: each job was taken, and
-// late ones went first. Those that cannot make it must give way at once, and
-// most of what the endpoints can do must be done in time.
+// In a burst all requests were 100 to 300 ms late: every job was admitted, and
+// late ones went first. Jobs that cannot meet their objectives must be displaced
+// at once, and most of the endpoints' capacity must go to jobs on time.
 func TestBurstIsServedInTime(t *testing.T) {
-	w := newWorld(testView([]string{"north", "south"}, 1))
+	w := newSimulation(testView([]string{"north", "south"}, 1))
 	const burst = 200
 	for i := range burst {
 		w.submit(testJob(fmt.Sprint(i)))
@@ -189,16 +189,16 @@
 		}
 	}
 	assert.Equal(t, len(w.grants)+len(w.ends), burst)
-	// Two endpoints make 8 pieces in 278 ms each: at 3 pieces a job and 50 jobs
-	// a second, about 38 in 100.
+	// Two endpoints make 8 pieces in 278 ms each: at 3 pieces a job and 50 jobs a
+	// second, about 38 jobs in 100.
 	assert.Assert(t, inTime >= burst*25/100, "%d of %d in time", inTime, burst)
 	late := len(w.grants) - inTime
 	assert.Assert(t, late <= inTime, "%d late, %d in time", late, inTime)
 }
 
-// The less urgent give way to the more urgent, never the other way round.
+// Less urgent jobs are displaced by more urgent ones, never the other way round.
 func TestUrgentJobsGoFirst(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+	w := newSimulation(testView([]string{"north"}, 1))
 	served := make(map[int]int)
 	asked := make(map[int]int)
 	for i := range 150 {
@@ -221,23 +221,23 @@
 }
 
 func TestDuplicateTicket(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+	w := newSimulation(testView([]string{"north"}, 1))
 	w.submit(testJob("a"))
 	assert.ErrorContains(t, w.core.Submit(w.now, testJob("a")), "ticket a")
 }
 
 func TestUnknownStageIsRefused(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+	w := newSimulation(testView([]string{"north"}, 1))
 	j := testJob("a")
 	j.Stages[0].Service = "nowhere"
 	w.submit(j)
 	assert.Equal(t, w.ends["a"], string(ReasonUnknownStage))
 }
 
-// The queue has a new owner, which knows nothing of what engines keep. Told by
-// the entries, it sends a prompt to the engine that has read it.
-func TestPlacedPromptsAreFoundAgain(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 8))
+// A new queue owner does not know what engines have cached. After the placements
+// are reported to it, it must send a prompt to the engine that has read it.
+func TestPlacementsRestorePromptAffinity(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 8))
 	prefix := []catalog.PrefixPart{{ID: "shared", Tokens: 4000}, {ID: "own", Tokens: 100}}
 	w.core.Placed([]Placement{
 		{Service: serviceModel, Endpoint: "model-north-5", Prefix: prefix},
@@ -250,11 +250,11 @@
 	assert.Equal(t, w.grants["a"].Endpoint, "model-north-5")
 }
 
-// The message that gives results up and the next call travel on two
-// connections, and the call may overtake it: its pieces find no room, and their
-// users wait for one more call. Room counts as free when the endpoint has said so.
-func TestRoomIsFreeWhenTheEndpointSaysSo(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+// A Free and the next call travel on two connections, and the call may overtake
+// the Free: its pieces then find no memory and need another call. Memory must only
+// count as free when the endpoint has answered.
+func TestMemoryIsFreeOnceTheEndpointAnswers(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
 	w.submit(testJob("a"))
 	for range 200 {
 		if _, granted := w.grants["a"]; granted {
@@ -263,7 +263,7 @@
 		w.run(10 * time.Millisecond)
 	}
 	heavy := w.core.pools[serviceHeavy].workers[0]
-	booked := heavy.used
+	booked := heavy.usedMemory
 	assert.Assert(t, booked > 0)
 	w.core.FirstEvent(w.now, "a")
 	frees := 0
@@ -273,41 +273,42 @@
 			continue
 		}
 		frees++
-		assert.Equal(t, heavy.used, booked)
+		assert.Equal(t, heavy.usedMemory, booked)
 		w.core.FreeEnded(w.now, free.ID, true)
 	}
 	assert.Equal(t, frees, 1)
-	assert.Equal(t, heavy.used, int64(0))
+	assert.Equal(t, heavy.usedMemory, int64(0))
 }
 
-// The answer to a message that gives results up is lost: their room stays
-// booked until the endpoint drops them by itself, and not for good.
-func TestRoomOfALostFreeRunsOut(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+// The answer to a Free is lost. The memory must stay reserved until the endpoint
+// drops the results by itself, and no longer.
+func TestMemoryOfALostFreeExpires(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
 	w.freesFail = func() bool { return true }
 	w.submit(testJob("a"))
 	w.run(2 * time.Second)
 	w.core.Done(w.now, "a", true)
 	w.drain()
-	assert.Assert(t, w.core.pools[serviceHeavy].workers[0].used > 0)
+	assert.Assert(t, w.core.pools[serviceHeavy].workers[0].usedMemory > 0)
 	w.run(heavySpec.ResultTTL + ttlMargin)
-	assertBooksEmpty(t, w.core)
+	assertNothingReserved(t, w.core)
 }
 
-// Results are a little larger than the configuration says, so full books
-// overflow. The share that is booked must fall, and come back with good calls.
-func TestRoomShareFollowsWhatFits(t *testing.T) {
+// Results are slightly larger than configured, so memory that is reserved
+// completely overflows. The share must fall, and recover with calls whose pieces
+// all fit.
+func TestMemoryShareAdapts(t *testing.T) {
 	p := newPool(serviceLight, &lightSpec)
 	for range 5 {
-		p.learnRoom(1)
+		p.learnMemoryShare(1)
 	}
-	assert.Assert(t, p.roomShare < 0.96 && p.roomShare > 0.94, "%v", p.roomShare)
+	assert.Assert(t, p.memoryShare < 0.96 && p.memoryShare > 0.94, "%v", p.memoryShare)
 	for range 100 {
-		p.learnRoom(1)
+		p.learnMemoryShare(1)
 	}
-	assert.Equal(t, p.roomShare, roomShareMin)
+	assert.Equal(t, p.memoryShare, memoryShareMin)
 	for range 1000 {
-		p.learnRoom(0)
+		p.learnMemoryShare(0)
 	}
-	assert.Equal(t, p.roomShare, 1.0)
+	assert.Equal(t, p.memoryShare, 1.0)
 }
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -6,23 +6,24 @@
 	"github.com/mangostage/mangostage/internal/sumtree"
 )
 
-// demand is the accepted work of a pool that no call has yet. It is kept as sums:
-// admission asks for them for each stage of each job, and would otherwise walk
-// all jobs that wait.
+// demand is the accepted work of a pool that is not in a call yet, kept as sums:
+// admission reads them for each stage of each job, and would otherwise walk all
+// waiting jobs.
 type demand struct {
-	// inTime is that of the jobs in time, by the latest start of their stages.
-	inTime sumtree.Tree
-	// late is that of the other jobs, by priority.
+	// onTime is the demand of on-time jobs, ordered by startBy.
+	onTime sumtree.Tree
+	// late is the demand of late jobs, by priority.
 	late map[int]sumtree.Amount
-	// yielding are the jobs that may give way.
-	yielding yielding
+	// displaceableJobs holds the jobs that may be displaced.
+	displaceableJobs displaceableJobs
 }
 
 func newDemand() demand { return demand{late: make(map[int]sumtree.Amount)} }
 
-// upTo is the work of late jobs at least as urgent as the priority, and of all in time.
-func (d *demand) upTo(priority int) sumtree.Amount {
-	sum := d.inTime.Sum()
+// sumUpTo returns the demand of all on-time jobs, and of late ones at least as
+// urgent as priority.
+func (d *demand) sumUpTo(priority int) sumtree.Amount {
+	sum := d.onTime.Sum()
 	for p, amount := range d.late {
 		if p <= priority {
 			sum = sum.Plus(amount)
@@ -31,7 +32,7 @@
 	return sum
 }
 
-func (d *demand) setLate(priority int, from, to sumtree.Amount) {
+func (d *demand) adjustLate(priority int, from, to sumtree.Amount) {
 	sum := d.late[priority]
 	sum.Pieces += to.Pieces - from.Pieces
 	sum.Bytes += to.Bytes - from.Bytes
@@ -42,18 +43,18 @@
 	d.late[priority] = sum
 }
 
-// booking is what a stage has in the demand of its pool.
-type booking struct {
+// demandEntry is what a stage contributes to the demand of its pool.
+type demandEntry struct {
 	pool   *pool
 	id     uint64
 	amount sumtree.Amount
 	late   bool
 }
 
-// book brings the demand of the pool up to date with the stage's waiting pieces
-// and its job. Before admission a stage has no pool.
-func (s *stage) book() {
-	b := &s.booking
+// updateDemand updates the pool's demand from the stage's waiting pieces and the
+// state of its job. It does nothing before plan has set the pool.
+func (s *stage) updateDemand() {
+	b := &s.demandEntry
 	if b.pool == nil {
 		return
 	}
@@ -67,55 +68,56 @@
 	d := &b.pool.demand
 	key := sumtree.Key{At: s.startBy, ID: b.id}
 	if b.late {
-		d.setLate(s.job.Priority, b.amount, sumtree.Amount{})
+		d.adjustLate(s.job.Priority, b.amount, sumtree.Amount{})
 	} else if s.job.late {
-		d.inTime.Set(key, sumtree.Amount{})
+		d.onTime.Set(key, sumtree.Amount{})
 	}
 	if s.job.late {
-		d.setLate(s.job.Priority, sumtree.Amount{}, amount)
+		d.adjustLate(s.job.Priority, sumtree.Amount{}, amount)
 	} else {
-		d.inTime.Set(key, amount)
+		d.onTime.Set(key, amount)
 	}
 	b.amount, b.late = amount, s.job.late
 }
 
-// book books all stages of a job.
-func (j *job) book() {
+// updateDemand updates the demand of all stages of the job.
+func (j *job) updateDemand() {
 	for _, s := range j.stages {
-		s.book()
+		s.updateDemand()
 	}
 }
 
-// yielding is a heap of jobs, the one that is worth least for its place first.
-// Jobs that may give way no longer, which is for good, are taken out when they
-// come to the top or when the heap has doubled.
-type yielding struct {
-	jobs []yielder
+// displaceableJobs is a heap of jobs with the lowest-ranked one on top. Jobs that
+// are no longer displaceable are removed when they reach the top or when the heap
+// is compacted, once it has doubled; a job that becomes displaceable again is
+// added anew.
+type displaceableJobs struct {
+	jobs []displaceableJob
 	// compactAt is the length at which the heap is compacted.
 	compactAt int
 }
 
-// yielder is a job with its density in the pool.
-type yielder struct {
+// displaceableJob is a job with its density in the pool.
+type displaceableJob struct {
 	job     *job
 	density float64
 }
 
-// compactMin is the length below which a heap is not compacted.
+// compactMin is the length below which the heap is not compacted.
 const compactMin = 64
 
-// add takes a job in time.
-func (y *yielding) add(j *job, p *pool) {
+// add adds an on-time job.
+func (y *displaceableJobs) add(j *job, p *pool) {
 	if len(y.jobs) >= max(compactMin, y.compactAt) {
 		y.compact()
 	}
-	heap.Push(y, yielder{job: j, density: j.density(p)})
+	heap.Push(y, displaceableJob{job: j, density: j.density(p)})
 }
 
-func (y *yielding) compact() {
+func (y *displaceableJobs) compact() {
 	kept := y.jobs[:0]
 	for _, o := range y.jobs {
-		if o.job.mayYield() {
+		if o.job.displaceable() {
 			kept = append(kept, o)
 		}
 	}
@@ -125,10 +127,10 @@
 	heap.Init(y)
 }
 
-// least returns the job that is worth least, or nil.
-func (y *yielding) least() *job {
+// lowest returns the lowest-ranked displaceable job, or nil.
+func (y *displaceableJobs) lowest() *job {
 	for len(y.jobs) > 0 {
-		if j := y.jobs[0].job; j.mayYield() {
+		if j := y.jobs[0].job; j.displaceable() {
 			return j
 		}
 		heap.Pop(y)
@@ -136,14 +138,15 @@
 	return nil
 }
 
-// mayYield tells whether nothing was done yet for a job in time.
-func (j *job) mayYield() bool { return !j.late && !j.started && !j.ended && j.engine == nil }
+// displaceable reports whether the job is on time and nothing of it has started.
+func (j *job) displaceable() bool { return !j.late && !j.started && !j.ended && j.engine == nil }
 
 // Len implements heap.Interface.
-func (y *yielding) Len() int { return len(y.jobs) }
+func (y *displaceableJobs) Len() int { return len(y.jobs) }
 
-// Less implements heap.Interface: the least urgent first, of those the least dense.
-func (y *yielding) Less(a, b int) bool {
+// Less implements heap.Interface: the least urgent job first, then the one with
+// the lowest density.
+func (y *displaceableJobs) Less(a, b int) bool {
 	x, z := y.jobs[a], y.jobs[b]
 	if x.job.Priority != z.job.Priority {
 		return x.job.Priority > z.job.Priority
@@ -155,16 +158,16 @@
 }
 
 // Swap implements heap.Interface.
-func (y *yielding) Swap(a, b int) { y.jobs[a], y.jobs[b] = y.jobs[b], y.jobs[a] }
+func (y *displaceableJobs) Swap(a, b int) { y.jobs[a], y.jobs[b] = y.jobs[b], y.jobs[a] }
 
 // Push implements heap.Interface.
-func (y *yielding) Push(x any) { y.jobs = append(y.jobs, x.(yielder)) }
+func (y *displaceableJobs) Push(x any) { y.jobs = append(y.jobs, x.(displaceableJob)) }
 
 // Pop implements heap.Interface.
-func (y *yielding) Pop() any {
+func (y *displaceableJobs) Pop() any {
 	last := len(y.jobs) - 1
 	o := y.jobs[last]
-	y.jobs[last] = yielder{}
+	y.jobs[last] = displaceableJob{}
 	y.jobs = y.jobs[:last]
 	return o
 }
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -11,13 +11,14 @@
 	"github.com/mangostage/mangostage/internal/sumtree"
 )
 
-// naiveUpTo is the work of jobs in time that must start by a time, by a walk of
+// naiveOnTime computes the demand of on-time jobs that must start by a time from
 // all jobs.
-func (c *Core) naiveUpTo(p *pool, by time.Time) sumtree.Amount {
+func (c *Core) naiveOnTime(p *pool, by time.Time) sumtree.Amount {
 	return c.naiveDemand(p, func(s *stage) bool { return !s.job.late && !s.startBy.After(by) })
 }
 
-// naiveLate is the work of all jobs but late ones that are less urgent.
+// naiveLate computes the demand of all on-time jobs, and of late ones at least as
+// urgent as priority, from all jobs.
 func (c *Core) naiveLate(p *pool, priority int) sumtree.Amount {
 	return c.naiveDemand(p, func(s *stage) bool { return !s.job.late || s.job.Priority <= priority })
 }
@@ -35,11 +36,11 @@
 	return sum
 }
 
-// naiveLeast compares all jobs that may give way.
-func (c *Core) naiveLeast(p *pool) *job {
+// naiveLowest finds the lowest-ranked displaceable job by comparing all.
+func (c *Core) naiveLowest(p *pool) *job {
 	var least *job
 	for _, o := range c.jobs {
-		if !o.mayYield() || !o.uses(p.name) || least != nil && !worthLess(o, least, p) {
+		if !o.displaceable() || !o.needs(p.name) || least != nil && !ranksBelow(o, least, p) {
 			continue
 		}
 		least = o
@@ -47,8 +48,8 @@
 	return least
 }
 
-// uses tells whether the job has pieces for the service.
-func (j *job) uses(service string) bool {
+// needs reports whether the job has pieces for the service.
+func (j *job) needs(service string) bool {
 	for _, s := range j.stages {
 		if s.Service == service && s.Pieces > 0 {
 			return true
@@ -57,7 +58,7 @@
 	return false
 }
 
-func worthLess(a, b *job, p *pool) bool {
+func ranksBelow(a, b *job, p *pool) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
 	}
@@ -67,20 +68,20 @@
 	return a.Ticket < b.Ticket
 }
 
-// TestDemandAsTheNaiveOne guards against admission by sums that have drifted
-// from the jobs: too high ones refuse requests for good, too low ones let in
-// what ends in vain.
-func TestDemandAsTheNaiveOne(t *testing.T) {
+// TestDemandMatchesNaive guards against sums that have drifted from the jobs: too
+// high, they refuse requests forever; too low, they admit requests that are then
+// given up.
+func TestDemandMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(testView([]string{"north", "south"}, 1))
-		w.fate = anyFate(t)
+		w := newSimulation(testView([]string{"north", "south"}, 1))
+		w.decide = randomFaults(t)
 		check := func() {
 			by := w.now.Add(time.Duration(rapid.IntRange(-1000, 2000).Draw(t, "by")) * time.Millisecond)
 			priority := rapid.IntRange(0, 2).Draw(t, "priority")
 			for _, p := range w.core.pools {
-				assert.Equal(t, p.demand.inTime.UpTo(by), w.core.naiveUpTo(p, by))
-				assert.Equal(t, p.demand.upTo(priority), w.core.naiveLate(p, priority))
-				assert.Equal(t, p.demand.yielding.least(), w.core.naiveLeast(p))
+				assert.Equal(t, p.demand.onTime.UpTo(by), w.core.naiveOnTime(p, by))
+				assert.Equal(t, p.demand.sumUpTo(priority), w.core.naiveLate(p, priority))
+				assert.Equal(t, p.demand.displaceableJobs.lowest(), w.core.naiveLowest(p))
 			}
 		}
 		w.afterTick = check
--- a/dispatch/effect.go
+++ b/dispatch/effect.go
@@ -6,24 +6,24 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// Effect is what the shell has to do.
+// Effect is an action for the scheduler to carry out.
 type Effect interface{ effect() }
 
-// StartCall sends a call to an endpoint of a stage's service. The shell
-// answers with CallEnded.
+// StartCall sends a call to an endpoint of a stage service. The scheduler answers
+// with CallEnded.
 type StartCall struct {
 	Call     uint64
 	Service  string
 	Endpoint string
 	Addr     string
 	Pieces   []Piece
-	// Timeout is when the endpoint is taken for silent.
+	// Timeout is the time after which the call counts as lost.
 	Timeout time.Duration
 	// Waiting is the number of pieces left in the service's queue.
 	Waiting int
-	// Speed is the endpoint's measured time of calls over the nominal one, by which
-	// it was chosen; a Suspect gets one piece, since its last call was overdue or
-	// its failure domain is not reached.
+	// Speed is the endpoint's measured over its nominal call time, by which it was
+	// chosen. Suspect is true if the last call was lost or the failure domain cannot
+	// be reached; the call then has only one piece.
 	Speed   float64
 	Suspect bool
 }
@@ -47,9 +47,9 @@
 	Inputs   []string `json:"inputs,omitempty"`
 	// Sources are the processes that keep the inputs.
 	Sources []Source `json:"sources,omitempty"`
-	// Waited is the time since the job came, Slack what is left until its
-	// objective beyond the usual time to a first event. Late jobs were
-	// forecast to miss it.
+	// Waited is the time since submission. Slack is the time left until the objective,
+	// minus the expected time to the first event. Late is true if the job was forecast
+	// to miss its objective.
 	Waited time.Duration `json:"waited"`
 	Slack  time.Duration `json:"slack"`
 	Late   bool          `json:"late,omitempty"`
@@ -57,7 +57,7 @@
 
 // Source is a process that keeps results.
 type Source struct {
-	// Endpoint is the ID.
+	// Endpoint is the endpoint's ID.
 	Endpoint    string              `json:"endpoint"`
 	Incarnation catalog.Incarnation `json:"incarnation,omitempty"`
 }
@@ -66,37 +66,37 @@
 type Refuse struct {
 	Ticket string `json:"ticket"`
 	Reason Reason `json:"reason"`
-	// RetryAfter is when another try may succeed.
+	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration `json:"retry_after"`
-	// Queue is the service that was short of something, and Short of what.
+	// Queue is the service that was short of a resource, and Short the resource.
 	Queue string   `json:"queue,omitempty"`
 	Short Resource `json:"short,omitempty"`
-	// Behind is how much too late the job would have started there.
+	// Behind is how late the job would have started there.
 	Behind time.Duration `json:"behind,omitempty"`
 }
 
-// Resource is what a service can be short of.
+// Resource is something that a service can be short of.
 type Resource string
 
 // The resources.
 const (
-	// ResourceCalls are places in calls.
+	// ResourceCalls means places in calls.
 	ResourceCalls Resource = "calls"
-	// ResourceMemory is memory for results.
+	// ResourceMemory means memory for results.
 	ResourceMemory Resource = "result_memory"
-	// ResourceEndpoints are endpoints that take work.
+	// ResourceEndpoints means usable endpoints.
 	ResourceEndpoints Resource = "endpoints"
-	// ResourceEngine is a model engine that bears a request now.
+	// ResourceEngine means a model engine that can accept a request now.
 	ResourceEngine Resource = "engine"
 )
 
-// Move gives a job without any piece made back to its entry, which gives it to
-// the present owner of the queue.
+// Move returns a job of which nothing has run to the process that submitted it,
+// which submits it to the current queue owner.
 type Move struct {
 	Ticket string
 }
 
-// Free gives up results at an endpoint. The shell answers with FreeEnded.
+// Free frees results at an endpoint. The scheduler answers with FreeEnded.
 type Free struct {
 	ID       uint64
 	Endpoint string
@@ -110,37 +110,40 @@
 func (Move) effect()      {}
 func (Free) effect()      {}
 
-// Reason tells why a job was refused.
+// Reason says why a job was refused.
 type Reason string
 
 // The reasons.
 const (
 	// ReasonOverload means that the stages cannot be done in time.
 	ReasonOverload Reason = "overload"
-	// ReasonNoEndpoint means that a service has no endpoint that takes work.
+	// ReasonNoEndpoint means that a service has no usable endpoint.
 	ReasonNoEndpoint Reason = "no_endpoint"
-	// ReasonStageFailed means that pieces failed time and again.
+	// ReasonStageFailed means that pieces of a stage failed too often, or that their
+	// inputs are gone.
 	ReasonStageFailed Reason = "stage_failed"
-	// ReasonDeadline means that the deadline came before the stages were done.
+	// ReasonDeadline means that too little time is left for the stages and the
+	// request.
 	ReasonDeadline Reason = "deadline"
 	// ReasonUnknownStage means that the configuration has no such stage service.
 	ReasonUnknownStage Reason = "unknown_stage"
 )
 
-// Outcome tells what became of one piece.
+// Outcome is what became of one piece.
 type Outcome struct {
-	// Handle is the result; empty if there is none.
+	// Handle names the result; empty if there is none.
 	Handle string
 	Fault  Fault
 }
 
-// Fault tells why a piece has no result.
+// Fault says why a piece has no result.
 type Fault string
 
 // The faults.
 const (
 	FaultNone Fault = ""
-	// FaultLate means that the piece's time had passed at its turn.
+	// FaultLate means that the piece's time had run out before the endpoint worked on
+	// it.
 	FaultLate Fault = "late"
 	// FaultInputs means that an input is no longer kept.
 	FaultInputs Fault = "inputs_gone"
@@ -150,7 +153,7 @@
 	FaultWork Fault = "work_failed"
 )
 
-// CallFault tells how a whole call failed.
+// CallFault says how a whole call failed.
 type CallFault string
 
 // The faults of calls.
@@ -160,6 +163,7 @@
 	CallRefused CallFault = "refused"
 	// CallLost means that no usable answer came; the call may have run.
 	CallLost CallFault = "lost"
-	// CallOther means that another incarnation has the address.
+	// CallOther means that another incarnation answers at the address; the call did
+	// not run.
 	CallOther CallFault = "other_incarnation"
 )
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -11,33 +11,37 @@
 )
 
 const (
-	// aheadShare is the part of the prompts before it that a prompt waits for:
-	// some of each has been read when it comes.
-	aheadShare = 0.6
-	// sharedWeight is what a token of a shared part that has to be read again
-	// costs, in tokens read: it takes the engine from others, too.
-	sharedWeight = 3.0
-	// decodeCost is what each running request adds to the wait for a first
-	// token, in milliseconds.
+	// tokensAheadShare is the fraction of the tokens queued ahead of a prompt that it
+	// waits for: some of them have been read by the time it arrives.
+	tokensAheadShare = 0.6
+	// sharedTokenWeight is the cost of a token of a shared part that has to be read
+	// again, relative to other tokens: reading it also keeps the engine from other
+	// requests.
+	sharedTokenWeight = 3.0
+	// decodeCost is what each running request adds to the wait for a first token, in
+	// milliseconds.
 	decodeCost = 0.6
-	// homePenalty is what inputs from another domain cost, in milliseconds for each MB.
-	homePenalty = 4.0
-	// failPenalty is what a failure rate of 1 costs, in milliseconds.
+	// crossDomainPenalty is the cost of inputs from another failure domain, in
+	// milliseconds per MB.
+	crossDomainPenalty = 4.0
+	// failPenalty is the cost of a failure rate of 1, in milliseconds. An engine
+	// without free memory or slots, and one that is paused or unreached, costs as much
+	// more.
 	failPenalty = 3000.0
-	// failWeight is the share of the newest outcome in the failure rate.
+	// failWeight is the weight of the newest outcome in the failure rate.
 	failWeight = 0.2
-	// failHalfLife is the time in which a failure rate halves without new
-	// evidence, so that an engine that is well again is tried again.
+	// failHalfLife is the half-life of a failure rate without new outcomes, so that an
+	// engine that has recovered is tried again.
 	failHalfLife = 4 * time.Second
-	// affinityBonus breaks ties in favour of the same engine for the same
-	// prompt, in milliseconds, also after the queue's owner has changed.
+	// affinityBonus breaks ties in favour of the same engine for the same prompt, in
+	// milliseconds, also after a change of the queue owner.
 	affinityBonus = 3.0
-	// cacheMargin is the part of an engine's memory that is taken to hold
-	// cached prefixes; the rest is for running requests.
-	cacheMargin = 0.6
-	// runMargin is how long a request is counted after its deadline if nobody
-	// says that it has ended.
-	runMargin = 2 * time.Second
+	// cacheShare is the fraction of an engine's memory that is assumed to hold cached
+	// prefixes; the rest is for running requests.
+	cacheShare = 0.6
+	// requestExpiryMargin is how long after its deadline a request is still counted if
+	// its end is not reported.
+	requestExpiryMargin = 2 * time.Second
 )
 
 // engine is the state of one model engine.
@@ -46,35 +50,36 @@
 	// key is the endpoint's Key.
 	key  string
 	spec *catalog.Model
-	// hash is that of the endpoint's ID.
-	hash uint64
-	runs map[string]*run
-	// prefill is the number of prompt tokens still to be read.
-	prefill int
-	// tokens is the memory of the running requests.
-	tokens int
-	cache  prefixCache
-	// times is what was learned of the service's engines together.
+	// hash is the hash of the endpoint's ID.
+	hash     uint64
+	requests map[string]*engineRequest
+	// prefillTokens is the number of prompt tokens still to be read.
+	prefillTokens int
+	// requestTokens is the memory of the assigned requests, in tokens.
+	requestTokens int
+	cache         prefixCache
+	// times is the estimator shared by all engines of the service.
 	times *promptTimes
-	// slowness is how its times to the first event compare with those.
+	// slowness compares the engine's times to the first event with the estimates.
 	slowness slowness
 	failures health.Rate
-	// pause is under way after failed requests.
+	// pause is active after failed requests.
 	pause health.Pause
-	// pace is what was sent to the engine while it is cold.
-	pace warm.Pace
-	gone bool
-	// unreached is set while the owner does not reach its failure domain.
+	// pace limits the requests to the engine while it is cold.
+	pace    warm.Pace
+	removed bool
+	// unreached is true while the owner cannot reach the engine's failure domain.
 	unreached bool
 }
 
-// run is a request that an engine was given.
-type run struct {
-	prefill int
-	// ahead is the number of tokens that the engine had to read before.
-	ahead  int
-	tokens int
-	until  time.Time
+// engineRequest is a request that was assigned to an engine.
+type engineRequest struct {
+	prefillTokens int
+	// tokensAhead is the number of tokens that the engine had to read before this
+	// request's.
+	tokensAhead   int
+	requestTokens int
+	expiresAt     time.Time
 }
 
 func newEngine(e *catalog.Endpoint, spec *catalog.Model) *engine {
@@ -83,104 +88,108 @@
 		key:      e.Key(),
 		spec:     spec,
 		hash:     xxhash.Sum64String(e.ID),
-		runs:     make(map[string]*run),
-		cache:    newPrefixCache(int(float64(spec.CacheTokens) * cacheMargin)),
+		requests: make(map[string]*engineRequest),
+		cache:    newPrefixCache(int(float64(spec.CacheTokens) * cacheShare)),
 	}
 }
 
-// usable tells whether the engine may be given requests at all.
-func (e *engine) usable() bool { return !e.gone && e.endpoint.TakesWork() }
+// usable reports whether the engine may get requests at all.
+func (e *engine) usable() bool { return !e.removed && e.endpoint.TakesWork() }
 
-// bears tells whether the engine may be given one now: a cold one bears few.
-func (e *engine) bears(now time.Time) bool {
+// acceptsNow reports whether the engine may get a request now: a cold one accepts
+// only a few.
+func (e *engine) acceptsNow(now time.Time) bool {
 	return e.usable() && e.pace.Allows(now, e.endpoint, warm.OwnerShare, 0)
 }
 
-// unread is the number of the prompt's tokens that the engine does not keep.
-func (e *engine) unread(j *job) int {
+// uncachedTokens returns the number of the prompt's tokens that the engine has not
+// cached.
+func (e *engine) uncachedTokens(j *job) int {
 	return max(0, promptTokens(j)-e.cache.hit(j.Prefix))
 }
 
-// begin counts a request.
-func (e *engine) begin(j *job) {
-	r := &run{
-		prefill: e.unread(j),
-		ahead:   e.prefill,
-		tokens:  promptTokens(j) + j.TokensOut,
-		until:   j.deadlineAt.Add(runMargin),
+// addRequest accounts for a request.
+func (e *engine) addRequest(j *job) {
+	r := &engineRequest{
+		prefillTokens: e.uncachedTokens(j),
+		tokensAhead:   e.prefillTokens,
+		requestTokens: promptTokens(j) + j.TokensOut,
+		expiresAt:     j.deadlineAt.Add(requestExpiryMargin),
 	}
-	e.runs[j.Ticket] = r
-	e.prefill += r.prefill
-	e.tokens += r.tokens
+	e.requests[j.Ticket] = r
+	e.prefillTokens += r.prefillTokens
+	e.requestTokens += r.requestTokens
 }
 
-// firstEvent notes that the prompt has been read, a time after the grant.
-func (e *engine) firstEvent(ticket string, took time.Duration, now time.Time) {
-	r := e.runs[ticket]
-	if r == nil || r.prefill == 0 {
+// observeFirstEvent notes that the engine has read a prompt; took is the time
+// since the grant.
+func (e *engine) observeFirstEvent(ticket string, took time.Duration, now time.Time) {
+	r := e.requests[ticket]
+	if r == nil || r.prefillTokens == 0 {
 		return
 	}
-	tokens := waitTokens(r.ahead, r.prefill)
-	e.slowness.learn(took, e.times.of(tokens), now)
+	tokens := firstEventTokens(r.tokensAhead, r.prefillTokens)
+	e.slowness.learn(took, e.times.estimate(tokens), now)
 	e.times.learn(tokens, took)
-	e.prefill -= r.prefill
-	r.prefill = 0
+	e.prefillTokens -= r.prefillTokens
+	r.prefillTokens = 0
 }
 
-// waitTokens is the number of tokens that the first event of a prompt waits
-// for, with so many to be read before and so many of its own.
-func waitTokens(ahead, own int) int { return int(aheadShare*float64(ahead)) + own }
+// firstEventTokens returns the number of tokens that are read before the first
+// event of a prompt: some of those ahead, and its own.
+func firstEventTokens(ahead, own int) int { return int(tokensAheadShare*float64(ahead)) + own }
 
-// end forgets a request.
-func (e *engine) end(ticket string) {
-	r := e.runs[ticket]
+// finish ends the accounting for a request.
+func (e *engine) finish(ticket string) {
+	r := e.requests[ticket]
 	if r == nil {
 		return
 	}
-	delete(e.runs, ticket)
-	e.prefill -= r.prefill
-	e.tokens -= r.tokens
+	delete(e.requests, ticket)
+	e.prefillTokens -= r.prefillTokens
+	e.requestTokens -= r.requestTokens
 }
 
-// expire forgets requests whose end was never heard of: their entry is gone.
+// expire removes requests whose end was not reported because the process that held
+// them is gone.
 func (e *engine) expire(now time.Time) {
-	for ticket, r := range e.runs {
-		if now.After(r.until) {
-			e.end(ticket)
+	for ticket, r := range e.requests {
+		if now.After(r.expiresAt) {
+			e.finish(ticket)
 		}
 	}
 }
 
-// learn notes whether a request was served.
-func (e *engine) learn(ok bool, now time.Time) {
+// observeOutcome notes whether a request was served.
+func (e *engine) observeOutcome(ok bool, now time.Time) {
 	e.failures.Learn(!ok, failWeight, failHalfLife, now)
 	if ok {
 		e.pause.Clear()
 	} else {
-		e.pause.Fail(pauseFirst, pauseMax, now)
+		e.pause.Fail(pauseMin, pauseMax, now)
 	}
 }
 
-// cost is the expected wait for the first token of j, in milliseconds, with
-// penalties for failures and for inputs from another domain.
+// cost returns the expected wait for the first token of j, in milliseconds, with
+// penalties for failures, missing capacity and inputs from other failure domains.
 func (e *engine) cost(j *job, inputs map[string]int64, now time.Time) float64 {
 	shared := sharedTokens(j)
 	hit := e.cache.hit(j.Prefix)
 	again := float64(max(0, shared-hit))
 	own := float64(promptTokens(j) - max(shared, hit))
-	tokens := float64(e.prefill) + sharedWeight*again + own
-	ms := e.slowness.factor(now) * milliseconds(e.times.of(int(tokens)))
-	ms += decodeCost * float64(len(e.runs))
+	tokens := float64(e.prefillTokens) + sharedTokenWeight*again + own
+	ms := e.slowness.factor(now) * milliseconds(e.times.estimate(int(tokens)))
+	ms += decodeCost * float64(len(e.requests))
 	ms += failPenalty * e.failures.At(failHalfLife, now)
 	for domain, bytes := range inputs {
 		if domain != e.endpoint.Domain {
-			ms += homePenalty * float64(bytes) / 1e6
+			ms += crossDomainPenalty * float64(bytes) / 1e6
 		}
 	}
-	if e.tokens+promptTokens(j)+j.TokensOut > e.spec.CacheTokens {
+	if e.requestTokens+promptTokens(j)+j.TokensOut > e.spec.CacheTokens {
 		ms += failPenalty
 	}
-	if len(e.runs) >= e.spec.Slots {
+	if len(e.requests) >= e.spec.Slots {
 		ms += failPenalty
 	}
 	if e.pause.Active(now) || e.unreached {
@@ -191,13 +200,13 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// sharedParts are the parts that other requests may share: all but the last,
+// sharedParts returns the parts that other requests may share: all but the last,
 // which is the request's own.
 func sharedParts(prefix []catalog.PrefixPart) []catalog.PrefixPart {
 	return prefix[:max(0, len(prefix)-1)]
 }
 
-// sharedTokens is the length of the shared parts.
+// sharedTokens returns the length of the shared parts.
 func sharedTokens(j *job) int {
 	n := 0
 	for _, p := range sharedParts(j.Prefix) {
@@ -206,7 +215,7 @@
 	return n
 }
 
-// promptTokens is the length of the whole prompt.
+// promptTokens returns the length of the whole prompt.
 func promptTokens(j *job) int {
 	n := 0
 	for _, p := range j.Prefix {
--- a/dispatch/engines.go
+++ b/dispatch/engines.go
@@ -9,84 +9,86 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// engines is one model service.
-type engines struct {
+// modelEngines holds the engines of one model service.
+type modelEngines struct {
 	byKey map[string]*engine
 	all   []*engine
-	// times is what was learned of them together.
+	// times is the estimator shared by the engines.
 	times *promptTimes
-	// readers maps the ID of a prompt's part to the engines that read it.
+	// readers maps the ID of a prompt part to the engines that have read it, oldest
+	// first.
 	readers map[string][]*engine
 }
 
 const (
-	// compareAll is the number of engines up to which all are compared.
-	compareAll = 64
-	// sampled is how many of more engines are compared beside those that have
-	// read the prompt's shared parts. Of 40 drawn at random one is among the
-	// least loaded tenth with a probability of 0.985.
-	sampled = 40
-	// maxReaders bounds the engines that are remembered for one part.
-	maxReaders = 16
+	// maxFullComparison is the number of engines up to which all are compared.
+	maxFullComparison = 64
+	// sampleSize is how many engines of a larger set are compared in addition to those
+	// that have read the prompt's shared parts. Of 40 drawn at random, one is among
+	// the least loaded tenth with a probability of 0.985.
+	sampleSize = 40
+	// maxReadersPerPart bounds the engines remembered for one part.
+	maxReadersPerPart = 16
 )
 
-// candidates returns the engines to compare for j: all of a few, else those
-// that have read the prompt's longest shared part and a sample.
-func (es *engines) candidates(j *job) []*engine {
-	if len(es.all) <= compareAll {
+// candidates returns the engines to compare for j: all of a small set, otherwise
+// those that have read the prompt's longest known prefix, and a sample.
+func (es *modelEngines) candidates(j *job) []*engine {
+	if len(es.all) <= maxFullComparison {
 		return es.all
 	}
-	candidates := make([]*engine, 0, sampled+maxReaders)
+	candidates := make([]*engine, 0, sampleSize+maxReadersPerPart)
 	for i := len(j.Prefix) - 1; i >= 0 && len(candidates) == 0; i-- {
 		candidates = append(candidates, es.readers[j.Prefix[i].ID]...)
 	}
 	at := xxhash.Sum64String(j.Ticket)
 	stride := at>>32 | 1
-	for range sampled {
+	for range sampleSize {
 		candidates = append(candidates, es.all[at%uint64(len(es.all))])
 		at += stride
 	}
 	return candidates
 }
 
-// read notes that an engine reads the prompt of j.
-func (es *engines) read(e *engine, j *job) {
-	e.begin(j)
-	es.keep(e, j.Prefix)
+// assign accounts for j at an engine, and for the prompt that the engine will
+// read.
+func (es *modelEngines) assign(e *engine, j *job) {
+	e.addRequest(j)
+	es.recordPrompt(e, j.Prefix)
 }
 
-// keep notes that an engine keeps a prompt. The last part is the request's own:
-// no other is looked for by it.
-func (es *engines) keep(e *engine, prefix []catalog.PrefixPart) {
+// recordPrompt records that an engine has cached a prompt. The last part is the
+// request's own and no other request looks it up.
+func (es *modelEngines) recordPrompt(e *engine, prefix []catalog.PrefixPart) {
 	e.cache.touch(prefix)
-	if len(es.all) <= compareAll {
+	if len(es.all) <= maxFullComparison {
 		return
 	}
 	for _, p := range sharedParts(prefix) {
-		es.remember(p.ID, e)
+		es.addReader(p.ID, e)
 	}
 }
 
-func (es *engines) remember(part string, e *engine) {
+func (es *modelEngines) addReader(part string, e *engine) {
 	readers := es.readers[part]
 	for _, r := range readers {
 		if r == e {
 			return
 		}
 	}
-	if len(es.readers) >= maxParts && readers == nil {
+	if len(es.readers) >= maxTrackedParts && readers == nil {
 		clear(es.readers)
 	}
-	if len(readers) == maxReaders {
+	if len(readers) == maxReadersPerPart {
 		readers = append(readers[:0], readers[1:]...)
 	}
 	es.readers[part] = append(readers, e)
 }
 
-// forgetGone takes the engines that have left out of the readers.
-func (es *engines) forgetGone() {
+// dropRemovedReaders removes engines that have left from the readers.
+func (es *modelEngines) dropRemovedReaders() {
 	for part, readers := range es.readers {
-		readers = slices.DeleteFunc(readers, func(e *engine) bool { return e.gone })
+		readers = slices.DeleteFunc(readers, func(e *engine) bool { return e.removed })
 		if len(readers) == 0 {
 			delete(es.readers, part)
 			continue
@@ -95,17 +97,17 @@
 	}
 }
 
-// maxParts bounds the parts whose readers are remembered.
-const maxParts = 1 << 16
+// maxTrackedParts bounds the parts whose readers are remembered.
+const maxTrackedParts = 1 << 16
 
-// usable tells whether an engine takes requests, be it one that bears none now.
-func (es *engines) usable() bool {
+// usable reports whether any engine is usable, even if it accepts no request now.
+func (es *modelEngines) usable() bool {
 	return es != nil && slices.ContainsFunc(es.all, (*engine).usable)
 }
 
-// choose returns the engine with the least cost for j, or nil if there is none
-// that bears a request now. Engines that failed the request before come last.
-func (es *engines) choose(j *job, inputs map[string]int64, now time.Time) *engine {
+// choose returns the engine with the least cost for j, or nil if none accepts a
+// request now. Engines on which the request has failed are heavily penalized.
+func (es *modelEngines) choose(j *job, inputs map[string]int64, now time.Time) *engine {
 	if es == nil {
 		return nil
 	}
@@ -117,13 +119,14 @@
 	return best
 }
 
-// cheapest compares engines one by one.
+// cheapest returns the engine of least cost among those that accept a request now,
+// or nil.
 func cheapest(candidates []*engine, j *job, inputs map[string]int64, now time.Time) *engine {
 	var best *engine
 	var least float64
 	favourite := rendezvous(candidates, j)
 	for _, e := range candidates {
-		if !e.bears(now) {
+		if !e.acceptsNow(now) {
 			continue
 		}
 		ms := e.cost(j, inputs, now)
@@ -142,7 +145,8 @@
 	return best
 }
 
-// rendezvous returns the engine that the prompt's shared parts hash to.
+// rendezvous returns the engine that the prompt's last shared part maps to by
+// highest random weight, or nil.
 func rendezvous(candidates []*engine, j *job) *engine {
 	if len(j.Prefix) < 2 {
 		return nil
@@ -161,7 +165,7 @@
 	return best
 }
 
-// mix spreads the bits of a combined hash, by the finalizer of SplitMix64.
+// mix spreads the bits of a combined hash with the finalizer of SplitMix64.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
--- a/dispatch/evacuate.go
+++ b/dispatch/evacuate.go
@@ -6,25 +6,25 @@
 )
 
 // refuseEvacuated refuses the jobs that wait for a service all of whose endpoints
-// are in evacuated failure domains. Nobody knows for how long, so that a client
-// that comes back later, to another gateway or domain, is better off than one that
-// is held until its deadline. Endpoints that crashed are back within seconds: jobs
-// do wait for those.
+// are in evacuated failure domains. Nobody knows how long an evacuation lasts, so
+// a client that retries later, at another gateway or failure domain, is better off
+// than one that is held until its deadline. Crashed endpoints are back within
+// seconds, so jobs do wait for those.
 func (c *Core) refuseEvacuated(now time.Time) {
-	for _, j := range c.tickets() {
+	for _, j := range c.jobsByTicket() {
 		if j.engine != nil {
 			continue
 		}
-		if service := c.evacuated(j); service != "" {
-			c.refuseUnserved(j, service, now)
+		if service := c.evacuatedService(j); service != "" {
+			c.refuseNoEndpoint(j, service, now)
 		}
 	}
 }
 
-// evacuated returns a service that the job still needs and that is evacuated, or
-// the empty string.
-func (c *Core) evacuated(j *job) string {
-	if es := c.engines[j.Service]; es != nil && allEvacuated(es.all) {
+// evacuatedService returns a service that the job still needs and that is
+// evacuated, or the empty string.
+func (c *Core) evacuatedService(j *job) string {
+	if es := c.modelEngines[j.Service]; es != nil && allEvacuated(es.all) {
 		return j.Service
 	}
 	for _, s := range j.stages {
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// target is an endpoint that work goes to.
+// target is an endpoint that takes work.
 type target interface {
 	usable() bool
 	evacuated() bool
@@ -45,7 +45,7 @@
 
 func (w *worker) evacuated() bool { return w.endpoint.Evacuated }
 
-// allEvacuated tells whether no target takes work, and one does but for that.
+// allEvacuated reports whether no target is usable and at least one is evacuated.
 func allEvacuated[T target](targets []T) bool {
 	return !slices.ContainsFunc(targets, T.usable) && slices.ContainsFunc(targets, T.evacuated)
 }
--- a/dispatch/evacuate_test.go
+++ b/dispatch/evacuate_test.go
@@ -10,8 +10,8 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// evacuate is the view in which failure domains are evacuated.
-func evacuate(view *catalog.View, domains ...string) *catalog.View {
+// evacuatedView returns the view in which failure domains are evacuated.
+func evacuatedView(view *catalog.View, domains ...string) *catalog.View {
 	var endpoints []*catalog.Endpoint
 	for e := range view.All() {
 		next := *e
@@ -23,13 +23,14 @@
 	return catalog.NewView(view.Index, endpoints, view.Revision+1)
 }
 
-// The operator empties a failure domain while jobs are under way. What waits goes
-// elsewhere at once, results that are there are used, and no call and no request
-// goes there until it is taken back.
+// An operator evacuates a failure domain while jobs are in progress. Waiting
+// pieces must go elsewhere at once, existing results must be used, and no call or
+// request may go there until the evacuation ends.
 func TestEvacuatedDomainGetsNoCalls(t *testing.T) {
 	view := testView([]string{"north", "south"}, 2)
-	w := newWorld(view)
-	// before holds the calls that were under way when the domain was evacuated.
+	w := newSimulation(view)
+	// before holds the IDs of the calls in flight when the failure domain was
+	// evacuated.
 	before := make(map[uint64]bool)
 	evacuated := false
 	w.afterTick = func() {
@@ -44,7 +45,7 @@
 	}
 	w.run(50 * time.Millisecond)
 	assert.Assert(t, len(w.grants) == 0 && len(before) > 0, "the jobs must be under way")
-	w.core.SetView(w.now, evacuate(view, "north"))
+	w.core.SetView(w.now, evacuatedView(view, "north"))
 	evacuated = true
 	w.drain()
 	w.run(3 * time.Second)
@@ -58,14 +59,14 @@
 	assert.Equal(t, w.grants["after"].Ticket, "after")
 }
 
-// All domains of a service are evacuated. Clients that wait for it, and those
-// that come, are told at once when to come back, and not at their deadline.
+// All failure domains of a service are evacuated. Waiting and new clients must be
+// refused at once with a time to retry, not held until their deadlines.
 func TestEvacuatedServiceRefusesAtOnce(t *testing.T) {
 	view := testView([]string{"north", "south"}, 1)
-	w := newWorld(view)
+	w := newSimulation(view)
 	w.submit(testJob("waits"))
 	w.run(20 * time.Millisecond)
-	w.core.SetView(w.now, evacuate(view, "north", "south"))
+	w.core.SetView(w.now, evacuatedView(view, "north", "south"))
 	w.drain()
 	w.submit(testJob("comes"))
 	w.run(10 * time.Millisecond)
@@ -73,5 +74,5 @@
 		assert.Equal(t, w.ends[name], string(ReasonNoEndpoint), name)
 	}
 	w.run(3 * time.Second)
-	assertBooksEmpty(t, w.core)
+	assertNothingReserved(t, w.core)
 }
--- a/dispatch/fill.go
+++ b/dispatch/fill.go
@@ -7,63 +7,64 @@
 	"time"
 )
 
-// dispatch starts calls at idle workers while work waits, in the pools in which
-// something has changed since the last time.
+// dispatch starts calls at idle workers while work waits, in the pools that have
+// changed since the last time.
 func (c *Core) dispatch(now time.Time) {
-	for _, p := range c.byName {
+	for _, p := range c.sortedPools {
 		if !p.changed {
 			continue
 		}
 		p.changed = false
 		if len(p.queue) > 0 {
-			c.fill(p, now)
+			c.fillPool(p, now)
 		}
 	}
 }
 
-// fill starts calls at the idle workers of a pool.
-func (c *Core) fill(p *pool, now time.Time) {
+// fillPool starts calls at the idle workers of a pool.
+func (c *Core) fillPool(p *pool, now time.Time) {
 	for _, w := range c.idle(p, now) {
-		for w.idle(now) && !p.window.full(now) {
-			pieces := p.batch(w, now)
+		for w.idle(now) && !p.callWindow.full(now) {
+			pieces := p.nextBatch(w, now)
 			if len(pieces) == 0 {
 				break
 			}
-			c.start(p, w, pieces, now)
+			c.startCall(p, w, pieces, now)
 		}
 	}
 }
 
-// idle lists the idle workers with room for a result, the fastest first.
+// idle returns the idle workers with memory for at least the smallest queued
+// result, the fastest first.
 func (c *Core) idle(p *pool, now time.Time) []*worker {
-	least := p.smallest()
+	least := p.smallestResult()
 	var workers []*worker
 	for _, w := range p.workers {
 		if !w.idle(now) {
 			continue
 		}
 		w.expire(now)
-		if w.room(p.roomShare) >= least {
+		if w.freeMemory(p.memoryShare) >= least {
 			workers = append(workers, w)
 		}
 	}
 	slices.SortStableFunc(workers, func(a, b *worker) int { return cmp.Compare(a.speed, b.speed) })
-	if p.window.limit != unbounded {
-		c.scatter(workers)
+	if p.callWindow.limit != unbounded {
+		c.orderByHash(workers)
 	}
 	return workers
 }
 
-// scatter orders workers by hash, differently at each owner: several that share
-// the endpoints would meet at the fastest ones.
-func (c *Core) scatter(workers []*worker) {
+// orderByHash orders workers by hash, differently at each owner: owners that share
+// the endpoints would otherwise all call the fastest ones first.
+func (c *Core) orderByHash(workers []*worker) {
 	slices.SortFunc(workers, func(a, b *worker) int { return cmp.Compare(mix(a.hash^c.salt), mix(b.hash^c.salt)) })
 }
 
-// sortPools lists the pools in a fixed order, so that a run can be repeated.
+// sortPools updates sortedPools. The fixed order makes runs reproducible.
 func (c *Core) sortPools() {
-	c.byName = c.byName[:0]
+	c.sortedPools = c.sortedPools[:0]
 	for _, name := range slices.Sorted(maps.Keys(c.pools)) {
-		c.byName = append(c.byName, c.pools[name])
+		c.sortedPools = append(c.sortedPools, c.pools[name])
 	}
 }
--- a/dispatch/home.go
+++ b/dispatch/home.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// homeWait is the longest that large pieces wait for an endpoint in the
+	// maxDomainWait is the longest that large pieces wait for an endpoint in the
 	// failure domain of their inputs or of their model engine.
-	homeWait = 300 * time.Millisecond
-	// spareShare is the part of a job's time to spare for which its pieces wait
-	// for the engine's domain; the rest is kept for the prompt.
-	spareShare = 0.5
-	// largeResult is the size in bytes from which the domain of a result matters.
+	maxDomainWait = 300 * time.Millisecond
+	// domainWaitShare is the fraction of a job's slack that its pieces may spend
+	// waiting for the engine's failure domain; the rest is kept for the prompt.
+	domainWaitShare = 0.5
+	// largeResult is the size in bytes from which the failure domain of a result
+	// matters.
 	largeResult = 30_000
 )
 
-// home is the domain in which pieces of s are best made: where most of the
-// bytes of their inputs are, or, for large results that the model engine will
-// read, where that is. Results that only stages read draw those after them, and
-// have no reason to wait for one domain or the other.
-func (c *Core) home(j *job, s *stage) string {
+// preferredDomain returns the failure domain in which pieces of s should run: the
+// one with most of the bytes of their inputs or, for large results that the model
+// engine reads, the engine's. Results that only stages read attract those stages,
+// and have no reason to wait for a particular domain.
+func (c *Core) preferredDomain(j *job, s *stage) string {
 	bytes := make(map[string]int64)
 	for _, a := range s.After {
 		for _, r := range j.stages[a].results {
@@ -31,37 +32,39 @@
 		}
 	}
 	if home == "" && s.ResultBytes >= largeResult && j.consumers(s.index) == 0 {
-		return j.home
+		return j.preferredDomain
 	}
 	return home
 }
 
-// mayRunIn tells whether pieces of s may be made in a domain now: in their own,
-// or in any once they have waited long enough or there is no endpoint in theirs.
+// mayRunIn reports whether pieces of s may run in a failure domain now: in the
+// preferred one, or in any if they have waited long enough or the preferred one
+// has no usable endpoint.
 func (s *stage) mayRunIn(domain string, p *pool, now time.Time) bool {
-	if s.home == "" || s.home == domain {
+	if s.preferredDomain == "" || s.preferredDomain == domain {
 		return true
 	}
-	return now.Sub(s.since) >= s.homeWait() || !p.domains[s.home]
+	return now.Sub(s.readyAt) >= s.domainWait() || !p.domains[s.preferredDomain]
 }
 
-// settle keeps the rest of a stage's pieces in the domain in which the first ones
-// are made. If they were spread, each piece of the next stage would read some of
-// its inputs from another domain, wherever it is made.
-func (s *stage) settle(domain string) {
-	if s.home == "" && s.ResultBytes >= largeResult {
-		s.home = domain
+// pinDomain keeps the remaining pieces of a stage in the failure domain of the
+// first ones. If they were spread, each piece of the next stage would read some of
+// its inputs from another domain, wherever it runs.
+func (s *stage) pinDomain(domain string) {
+	if s.preferredDomain == "" && s.ResultBytes >= largeResult {
+		s.preferredDomain = domain
 	}
 }
 
-// homeWait is how long the pieces of s wait for an endpoint in their domain.
-// Pieces with inputs read all of them, so they wait in any case. Those for the
-// engine alone wait for a part of what their job has to spare: a long prompt needs
-// most of the time to the objective. A job that will miss it anyway is in no hurry.
-func (s *stage) homeWait() time.Duration {
-	spare := s.startBy.Sub(s.since)
+// domainWait returns how long the pieces of s wait for an endpoint in their
+// preferred domain. Pieces with inputs read all of them, so they wait in any case.
+// Pieces for the engine alone wait for a fraction of the job's slack, because a
+// long prompt needs most of the time to the objective. A job that will miss its
+// objective anyway waits the full time.
+func (s *stage) domainWait() time.Duration {
+	spare := s.startBy.Sub(s.readyAt)
 	if len(s.After) > 0 || spare < 0 {
-		return homeWait
+		return maxDomainWait
 	}
-	return min(homeWait, time.Duration(spareShare*float64(spare)))
+	return min(maxDomainWait, time.Duration(domainWaitShare*float64(spare)))
 }
--- a/dispatch/home_test.go
+++ b/dispatch/home_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// chainJob has three stages that follow each other; the results of the second
+// chainJob returns a job with three stages in a chain; the results of the second
 // are large, and only the third reads them.
 func chainJob(ticket string) Job {
 	j := testJob(ticket)
@@ -19,14 +19,14 @@
 	return j
 }
 
-// One endpoint of a stage in each failure domain, all busy in turn. Large results
-// that only the next stage reads waited 300 ms for the endpoint in the domain of
-// the model engine, though another was idle; a tenth of all users with such
-// stages waited that long for nothing.
+// Each failure domain has one endpoint of a stage. Large results that only the
+// next stage reads waited 300 ms for a busy endpoint in the model engine's failure
+// domain although another endpoint was idle; this delayed a tenth of all requests
+// with such stages.
 func TestMiddleStageWaitsForNoDomain(t *testing.T) {
 	view := testView([]string{"north", "south"}, 1)
 	view.Endpoint("model-south-0").Leaving = true
-	w := newWorld(view)
+	w := newSimulation(view)
 	w.slow["rank-north-0"] = 20
 	busy := testJob("busy")
 	busy.Stages = []StageWork{{Service: serviceLight, Pieces: 1, ResultBytes: 60_000}}
@@ -39,9 +39,10 @@
 	assert.Equal(t, last.Pieces[0].Request, "a")
 }
 
-// The next stage does wait: it reads all results of the one before.
+// The last stage does wait for a failure domain: it reads all results of the one
+// before.
 func TestLastStageFollowsItsInputs(t *testing.T) {
-	w := newWorld(testView([]string{"north", "south"}, 1))
+	w := newSimulation(testView([]string{"north", "south"}, 1))
 	w.submit(chainJob("a"))
 	w.run(time.Second)
 	j := w.core.jobs["a"]
@@ -54,10 +55,10 @@
 	}
 }
 
-// A call has places left for half of a stage's pieces. The other half went to an
-// idle endpoint in another domain at once, and each piece of the next stage read
-// half of its inputs from there.
-func TestPiecesOfAStageKeepTogether(t *testing.T) {
+// A call had places left for half of a stage's pieces. The other half went to an
+// idle endpoint in another failure domain at once, and each piece of the next
+// stage had to read half of its inputs from there.
+func TestPiecesOfAStageStayInOneDomain(t *testing.T) {
 	c := New("test")
 	c.SetView(epoch, testView([]string{"north", "south"}, 1))
 	p := c.pools[serviceLight]
@@ -65,11 +66,11 @@
 		work := chainJob(ticket)
 		work.Stages[1].Pieces = 16
 		s := newJob(work, epoch).stages[1]
-		s.since = epoch
+		s.readyAt = epoch
 		p.push(s)
 	}
 	north, south := p.workers[0], p.workers[1]
-	assert.Equal(t, len(p.batch(north, epoch)), 24)
-	assert.Equal(t, len(p.batch(south, epoch)), 0)
-	assert.Equal(t, len(p.batch(south, epoch.Add(homeWait))), 8, "not for longer than a while")
+	assert.Equal(t, len(p.nextBatch(north, epoch)), 24)
+	assert.Equal(t, len(p.nextBatch(south, epoch)), 0)
+	assert.Equal(t, len(p.nextBatch(south, epoch.Add(maxDomainWait))), 8, "not for longer than a while")
 }
--- a/dispatch/incarnation_test.go
+++ b/dispatch/incarnation_test.go
@@ -11,9 +11,9 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// restarted is the view in which endpoints run as new processes, at the same
-// address and under the same ID.
-func restarted(view *catalog.View, born catalog.Incarnation, ids ...string) *catalog.View {
+// restartedView returns the view in which endpoints run as new processes, at the
+// same address and under the same ID.
+func restartedView(view *catalog.View, born catalog.Incarnation, ids ...string) *catalog.View {
 	var endpoints []*catalog.Endpoint
 	for _, service := range []string{serviceModel, serviceHeavy, serviceLight} {
 		for _, e := range view.Endpoints(service) {
@@ -29,8 +29,9 @@
 	return catalog.NewView(view.Index, endpoints, view.Revision+1)
 }
 
-// without is the view in which endpoints have lapsed.
-func without(view *catalog.View, ids ...string) *catalog.View {
+// viewWithout returns the view without some endpoints, as if their registration
+// had expired.
+func viewWithout(view *catalog.View, ids ...string) *catalog.View {
 	var endpoints []*catalog.Endpoint
 	for _, service := range []string{serviceModel, serviceHeavy, serviceLight} {
 		for _, e := range view.Endpoints(service) {
@@ -42,25 +43,27 @@
 	return catalog.NewView(view.Index, endpoints, view.Revision+1)
 }
 
-// bornAll has all endpoints state their start.
-func bornAll(view *catalog.View) *catalog.View {
+// viewWithIncarnations returns the view in which all endpoints have an
+// incarnation.
+func viewWithIncarnations(view *catalog.View) *catalog.View {
 	var ids []string
 	for _, service := range []string{serviceModel, serviceHeavy, serviceLight} {
 		for _, e := range view.Endpoints(service) {
 			ids = append(ids, e.ID)
 		}
 	}
-	return restarted(view, 1, ids...)
+	return restartedView(view, 1, ids...)
 }
 
-// A client gets 503, or an answer made of another request's results: an endpoint
-// crashed and was back under its ID at once, and the results that it had held
-// were still handed to the next stages. They must be made again, in time.
+// An endpoint crashed and was back under its ID at once, and the results of the
+// old process were still passed to the next stages: the client got a 503, or an
+// answer made of another request's results. The results must be produced again, in
+// time.
 func TestRestartLosesResults(t *testing.T) {
 	cases := map[string]struct {
 		after time.Duration
 		ids   []string
-		// off is how long the endpoints are off the list.
+		// off is how long the endpoints are missing from the list.
 		off time.Duration
 	}{
 		"first stages under way": {100 * time.Millisecond, []string{"encode-north-0"}, 0},
@@ -72,11 +75,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			view := bornAll(testView([]string{"north"}, 2))
-			w := newWorld(view)
-			// lost are the handles of ended processes.
+			view := viewWithIncarnations(testView([]string{"north"}, 2))
+			w := newSimulation(view)
+			// lost holds the handles of ended processes.
 			lost := make(map[string]bool)
-			w.fate = func(call StartCall) (CallFault, Fault) {
+			w.decide = func(call StartCall) (CallFault, Fault) {
 				for _, p := range call.Pieces {
 					for _, h := range p.Inputs {
 						if lost[h] {
@@ -89,17 +92,17 @@
 			w.submit(testJob("j"))
 			w.run(c.after)
 			assert.Equal(t, len(w.grants), 0, "the job must be under way")
-			for h := range w.made {
+			for h := range w.produced {
 				for _, id := range c.ids {
 					lost[h] = lost[h] || strings.HasPrefix(h, id+":80/")
 				}
 			}
 			if c.off > 0 {
-				w.core.SetView(w.now, without(view, c.ids...))
+				w.core.SetView(w.now, viewWithout(view, c.ids...))
 				w.drain()
 				w.run(c.off)
 			}
-			w.core.SetView(w.now, restarted(view, 2, c.ids...))
+			w.core.SetView(w.now, restartedView(view, 2, c.ids...))
 			w.drain()
 			w.run(2500 * time.Millisecond)
 			assert.Equal(t, w.ends["j"], "")
@@ -113,18 +116,18 @@
 	}
 }
 
-// Calls wait for seconds although the endpoint idles: it started again, and the
-// slots and the room that its last process had used were still booked.
-func TestRestartEmptiesBooks(t *testing.T) {
-	view := bornAll(testView([]string{"north"}, 1))
-	w := newWorld(view)
+// An endpoint restarts. The slots and memory reserved for the old process must be
+// released, or calls wait for seconds while the endpoint is idle.
+func TestRestartReleasesReservations(t *testing.T) {
+	view := viewWithIncarnations(testView([]string{"north"}, 1))
+	w := newSimulation(view)
 	w.slow["encode-north-0"] = 100
 	w.submit(testJob("j"))
 	worker := w.core.pools[serviceHeavy].workers[0]
 	assert.Equal(t, len(worker.calls), 1)
-	assert.Assert(t, worker.used > 0)
+	assert.Assert(t, worker.usedMemory > 0)
 	w.slow["encode-north-0"] = 1
-	w.core.SetView(w.now, restarted(view, 2, "encode-north-0"))
+	w.core.SetView(w.now, restartedView(view, 2, "encode-north-0"))
 	now := w.core.pools[serviceHeavy].workers[0]
 	assert.Equal(t, now.speed, 1.0)
 	w.drain()
@@ -134,18 +137,18 @@
 	assert.Equal(t, len(w.core.calls), 0)
 }
 
-// A request gets results that are no longer there: the answer of an ended
-// process came late, after the new one was listed, and its results were kept.
+// An ended process answers late, when the new one is listed already. Its results
+// must be ignored, since nobody keeps them any more.
 func TestLateAnswerOfEndedProcess(t *testing.T) {
-	view := bornAll(testView([]string{"north"}, 1))
-	w := newWorld(view)
+	view := viewWithIncarnations(testView([]string{"north"}, 1))
+	w := newSimulation(view)
 	w.submit(testJob("j"))
 	late := w.calls[0].call
 	w.calls = nil
-	w.core.SetView(w.now, restarted(view, 2, "encode-north-0"))
-	w.end(late)
+	w.core.SetView(w.now, restartedView(view, 2, "encode-north-0"))
+	w.endCall(late)
 	old := make(map[string]bool)
-	for h := range w.made {
+	for h := range w.produced {
 		old[h] = true
 	}
 	assert.Assert(t, len(old) > 0)
@@ -162,57 +165,57 @@
 	}
 }
 
-// A stage endpoint that failed and was slow gets no calls for seconds although
-// a new process runs there, which has done nothing wrong.
-func TestRestartForgetsEvidence(t *testing.T) {
-	view := bornAll(testView([]string{"north"}, 1))
+// An endpoint that was slow and failing restarts. The new process must not inherit
+// the old one's record, or it gets no calls for seconds.
+func TestRestartResetsHealth(t *testing.T) {
+	view := viewWithIncarnations(testView([]string{"north"}, 1))
 	c := New("test")
 	c.SetView(epoch, view)
 	w := c.pools[serviceHeavy].workers[0]
 	w.speed = speedMax
 	w.pause.Fail(pauseMax, pauseMax, epoch)
-	e := c.engines[serviceModel].all[0]
-	e.learn(false, epoch)
+	e := c.modelEngines[serviceModel].all[0]
+	e.observeOutcome(false, epoch)
 	e.cache.touch([]catalog.PrefixPart{{ID: "p", Tokens: 9}})
-	e.begin(newJob(testJob("j"), epoch))
-	c.SetView(epoch, restarted(view, 2, "encode-north-0", "model-north-0"))
+	e.addRequest(newJob(testJob("j"), epoch))
+	c.SetView(epoch, restartedView(view, 2, "encode-north-0", "model-north-0"))
 	w = c.pools[serviceHeavy].workers[0]
 	assert.Equal(t, w.speed, 1.0)
 	assert.Assert(t, w.idle(epoch))
-	e = c.engines[serviceModel].all[0]
+	e = c.modelEngines[serviceModel].all[0]
 	assert.Equal(t, e.cache.hit([]catalog.PrefixPart{{ID: "p", Tokens: 9}}), 0)
 	assert.Assert(t, !e.pause.Active(epoch))
 	assert.Equal(t, e.failures.At(failHalfLife, epoch), 0.0)
-	assert.Equal(t, e.prefill+e.tokens+len(e.runs), 0)
+	assert.Equal(t, e.prefillTokens+e.requestTokens+len(e.requests), 0)
 }
 
-// A new owner of the queue sends prompts to an engine for parts that it does
-// not keep: an entry told it where it had sent them, to the process before.
+// An entry reports to a new queue owner which prompts it has sent to a process
+// that has ended. The owner must not expect the new process to have them cached.
 func TestPlacementAtEndedProcess(t *testing.T) {
-	view := bornAll(testView([]string{"north"}, 1))
+	view := viewWithIncarnations(testView([]string{"north"}, 1))
 	c := New("test")
-	c.SetView(epoch, restarted(view, 2, "model-north-0"))
+	c.SetView(epoch, restartedView(view, 2, "model-north-0"))
 	parts := []catalog.PrefixPart{{ID: "p", Tokens: 9}}
 	place := func(e *catalog.Endpoint) {
 		c.Placed([]Placement{{Service: serviceModel, Endpoint: e.Key(), Prefix: parts}})
 	}
 	place(view.Endpoints(serviceModel)[0])
-	e := c.engines[serviceModel].all[0]
+	e := c.modelEngines[serviceModel].all[0]
 	assert.Equal(t, e.cache.hit(parts), 0)
 	place(e.endpoint)
 	assert.Equal(t, e.cache.hit(parts), 9)
 }
 
-// A request that an engine failed may be given to the process that runs there
-// now, and one that failed at this process goes elsewhere if it can.
+// A request that has failed on an engine must go elsewhere, but may go to a new
+// process of that engine.
 func TestAvoidedProcess(t *testing.T) {
-	view := bornAll(testView([]string{"north"}, 2))
+	view := viewWithIncarnations(testView([]string{"north"}, 2))
 	c := New("test")
 	c.SetView(epoch, view)
 	j := newJob(testJob("j"), epoch)
-	first := c.engines[serviceModel].choose(j, nil, epoch).endpoint
+	first := c.modelEngines[serviceModel].choose(j, nil, epoch).endpoint
 	j.Avoid = []string{first.Key()}
-	assert.Assert(t, c.engines[serviceModel].choose(j, nil, epoch).endpoint.ID != first.ID)
-	c.SetView(epoch, restarted(view, 2, first.ID))
-	assert.Equal(t, c.engines[serviceModel].choose(j, nil, epoch).endpoint.ID, first.ID)
+	assert.Assert(t, c.modelEngines[serviceModel].choose(j, nil, epoch).endpoint.ID != first.ID)
+	c.SetView(epoch, restartedView(view, 2, first.ID))
+	assert.Equal(t, c.modelEngines[serviceModel].choose(j, nil, epoch).endpoint.ID, first.ID)
 }
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -7,53 +7,54 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// Job is one request for a model engine, with the stages to run before.
+// Job is a request for a model engine, with the stages to run before it.
 type Job struct {
-	// Ticket names the job among all jobs of the fleet.
+	// Ticket identifies the job in the fleet.
 	Ticket string `json:"ticket"`
-	// Request is the ID that endpoints get to see.
+	// Request is the request ID that endpoints see.
 	Request string `json:"request"`
-	// Service is the model service that takes the request after its stages.
+	// Service is the model service that serves the request after its stages.
 	Service string `json:"service"`
-	// Route and Account are for logs and fair shares.
+	// Route and Account are used in logs and for fair sharing.
 	Route   string `json:"route"`
 	Account string `json:"account,omitempty"`
-	// Domain is the failure domain of the entry that holds the client.
+	// Domain is the failure domain of the process that holds the client connection.
 	Domain string `json:"domain"`
-	// Stages are the stages of the route, those without pieces included.
+	// Stages are the stages of the route, including those without pieces.
 	Stages []StageWork `json:"stages,omitempty"`
-	// PieceKey goes with the pieces of stages that have no inputs.
+	// PieceKey is sent with the pieces of stages that have no inputs.
 	PieceKey  string               `json:"piece_key,omitempty"`
 	Prefix    []catalog.PrefixPart `json:"prefix,omitempty"`
 	TokensIn  int                  `json:"tokens_in,omitempty"`
 	TokensOut int                  `json:"tokens_out,omitempty"`
 	// Priority ranks the job; 0 is the most urgent.
 	Priority int `json:"priority"`
-	// Objective and Deadline are what is left of them, Usual is the objective
-	// of a first try.
+	// Objective and Deadline are the times left until the objective and the deadline;
+	// Usual is the full objective of a first try.
 	Objective time.Duration `json:"objective"`
 	Deadline  time.Duration `json:"deadline"`
 	Usual     time.Duration `json:"usual"`
-	// Again is set for a client that has been refused before.
+	// Again is true if the client was refused before and has come back.
 	Again bool `json:"again,omitempty"`
-	// Avoid lists the Keys of model engines that have failed the request before.
+	// Avoid lists the Keys of model engines on which the request has failed.
 	Avoid []string `json:"avoid,omitempty"`
 }
 
 // StageWork is one stage of a job.
 type StageWork struct {
 	Service string `json:"service"`
-	// After lists the stages whose results this one reads.
+	// After lists the indices of the stages whose results this stage reads.
 	After []int `json:"after,omitempty"`
-	// Pieces is the number of pieces; 0 leaves the stage out.
+	// Pieces is the number of pieces; a stage with 0 is skipped.
 	Pieces      int   `json:"pieces"`
 	ResultBytes int64 `json:"result_bytes"`
 }
 
-// Placement says that a model engine has read a prompt.
+// Placement records that a model engine has read a prompt.
 type Placement struct {
 	Service string `json:"service"`
-	// Endpoint is the Key: a process knows nothing of what an earlier one read.
+	// Endpoint is the Key of the engine's process: a restarted process has not read
+	// what the previous one read.
 	Endpoint string               `json:"endpoint"`
 	Prefix   []catalog.PrefixPart `json:"prefix"`
 }
@@ -61,37 +62,38 @@
 // job is the state of a Job.
 type job struct {
 	Job
-	aimAt      time.Time
-	deadlineAt time.Time
-	stages     []*stage
-	// home is the failure domain of the model engine that was thought of at
-	// the start; large results are made there.
-	home      string
-	submitted time.Time
-	// late is set when the job will miss its objective; it then goes behind
-	// those that can meet theirs.
+	objectiveAt time.Time
+	deadlineAt  time.Time
+	stages      []*stage
+	// preferredDomain is the failure domain of the model engine expected at
+	// submission; large results are produced there.
+	preferredDomain string
+	submitted       time.Time
+	// late is true if the job is expected to miss its objective; it is then queued
+	// behind jobs that can meet theirs.
 	late bool
-	// queue is the service that made the job late, or without hope, short what it
-	// lacks, and behind how late the job would have been.
-	queue  string
-	short  Resource
-	behind time.Duration
-	// first is the expected time from the grant to the first event.
-	first time.Duration
-	// weight is the job's size against the usual size on its route.
+	// shortService is the service for which the job is late or refused, shortResource
+	// what that service is short of, and lateBy how late the job would have started
+	// there.
+	shortService  string
+	shortResource Resource
+	lateBy        time.Duration
+	// firstEventTime is the expected time from the grant to the first event.
+	firstEventTime time.Duration
+	// weight is the job's size relative to the mean size on its route.
 	weight float64
-	// lostAt is when results of the job were last lost, to be made again.
+	// lostAt is when results of the job were last lost and had to be produced again.
 	lostAt time.Time
-	// started is set when the first piece is sent, and taken back if all calls with
-	// pieces of the job were refused: then nothing of it has run.
+	// started is true from the sending of the first piece. It is reset if every call
+	// with pieces of the job was refused, because nothing of it has run then.
 	started bool
-	// underway counts the pieces in calls; mayHaveRun is set when a call with some
-	// has ended that was not refused.
-	underway   int
+	// inFlight counts the pieces in calls. mayHaveRun is true once a call with pieces
+	// of the job has ended without being refused.
+	inFlight   int
 	mayHaveRun bool
 	// granted is when the engine was chosen.
 	granted time.Time
-	// engine is set when the job is granted.
+	// engine is the chosen engine; nil until the job is granted.
 	engine *engine
 	ended  bool
 }
@@ -101,54 +103,56 @@
 	StageWork
 	job   *job
 	index int
-	// left counts pieces without a result.
-	left int
-	// waiting are the indices of pieces that no call has.
+	// missing counts the pieces without a result.
+	missing int
+	// waiting holds the indices of the pieces that are neither in a call nor done.
 	waiting []int
 	results []*result
 	inputs  []string
-	// home is the domain in which the pieces are best made; empty for any.
-	home string
-	// since is when the pieces became ready.
-	since time.Time
+	// preferredDomain is the failure domain in which the pieces should run; empty for
+	// any.
+	preferredDomain string
+	// readyAt is when the stage became ready; zero before.
+	readyAt time.Time
 	// startBy is when the pieces must start for the job to meet its objective.
 	startBy time.Time
-	// forecast is when its last pieces were expected to start at admission.
-	forecast time.Time
-	queued   bool
-	// avoid is the Key of an endpoint that has just failed pieces of this stage.
-	avoid   string
-	tries   int
-	freed   bool
-	booking booking
+	// forecastStart is when, at admission, the last pieces were expected to start.
+	forecastStart time.Time
+	queued        bool
+	// avoidKey is the Key of the endpoint that last failed pieces of this stage.
+	avoidKey    string
+	failedTries int
+	freed       bool
+	demandEntry demandEntry
 }
 
-// done tells whether all pieces have a result.
-func (s *stage) done() bool { return s.left == 0 }
+// done reports whether all pieces have a result.
+func (s *stage) done() bool { return s.missing == 0 }
 
-// result is memory at an endpoint.
+// result is the memory that one result occupies at an endpoint.
 type result struct {
 	worker *worker
 	handle string
 	bytes  int64
-	// since is when the memory was reserved.
-	since time.Time
-	// until is when the endpoint drops the result by itself.
-	until time.Time
-	// givenUp is set once the endpoint has been told to drop it.
-	givenUp bool
+	// reservedAt is when the call that produced the result was sent.
+	reservedAt time.Time
+	// expiresAt is when the endpoint drops the result by itself.
+	expiresAt time.Time
+	// discarded is true once the result is no longer needed and a Free, if its
+	// endpoint is still there, was emitted.
+	discarded bool
 }
 
-// newJob returns the state of j at now.
+// newJob returns the initial state of j, submitted at now.
 func newJob(j Job, now time.Time) *job {
 	state := &job{
-		Job:        j,
-		submitted:  now,
-		aimAt:      now.Add(j.Objective),
-		deadlineAt: now.Add(j.Deadline),
+		Job:         j,
+		submitted:   now,
+		objectiveAt: now.Add(j.Objective),
+		deadlineAt:  now.Add(j.Deadline),
 	}
 	for i, work := range j.Stages {
-		s := &stage{StageWork: work, job: state, index: i, left: work.Pieces}
+		s := &stage{StageWork: work, job: state, index: i, missing: work.Pieces}
 		s.results = make([]*result, work.Pieces)
 		for p := range work.Pieces {
 			s.waiting = append(s.waiting, p)
@@ -158,7 +162,7 @@
 	return state
 }
 
-// ready tells whether all stages that s reads are done.
+// ready reports whether all stages that s reads are done.
 func (j *job) ready(s *stage) bool {
 	for _, i := range s.After {
 		if !j.stages[i].done() {
@@ -168,7 +172,8 @@
 	return true
 }
 
-// stagesDone tells whether the request itself can be sent.
+// stagesDone reports whether all stages are done, so that the request itself can
+// be sent.
 func (j *job) stagesDone() bool {
 	for _, s := range j.stages {
 		if !s.done() {
@@ -178,7 +183,7 @@
 	return true
 }
 
-// collectInputs lists the handles of all pieces of the stages that s reads.
+// collectInputs returns the handles of the results that s reads.
 func (j *job) collectInputs(s *stage) []string {
 	var handles []string
 	for _, i := range s.After {
@@ -189,7 +194,7 @@
 	return handles
 }
 
-// sources lists the processes that keep the results of finalInputs, each once.
+// sources returns the processes that keep the results of finalInputs, each once.
 func (j *job) sources() []Source {
 	var sources []Source
 	for _, s := range j.stages {
@@ -207,8 +212,8 @@
 	return sources
 }
 
-// finalInputs lists the handles of all pieces of the stages that no other
-// stage reads; these the model engine fetches.
+// finalInputs returns the handles of the results that no other stage reads; the
+// model engine fetches them.
 func (j *job) finalInputs() []string {
 	var handles []string
 	for _, s := range j.stages {
@@ -238,7 +243,8 @@
 	return n
 }
 
-// consumed tells whether stage i is read by stages, all of which are done.
+// consumed reports whether at least one stage with pieces reads stage i, and all
+// that do are done.
 func (j *job) consumed(i int) bool {
 	read := false
 	for _, s := range j.stages {
--- a/dispatch/lag_test.go
+++ b/dispatch/lag_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOwnerThatLagsTakesLess guards against an owner that cannot keep up and
-// takes jobs in time that end late.
-func TestOwnerThatLagsTakesLess(t *testing.T) {
+// TestLaggingOwnerAdmitsLess guards against an overloaded owner that admits jobs
+// as on time which then end late.
+func TestLaggingOwnerAdmitsLess(t *testing.T) {
 	tight := testJob("a")
 	tight.Objective = 900 * time.Millisecond
 	for name, test := range map[string]struct {
--- a/dispatch/lose.go
+++ b/dispatch/lose.go
@@ -9,13 +9,13 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// replaced lists the workers of ended processes, in the places of which others
-// serve now, that calls and jobs under way still rely on. They may have been off
-// the list for a while before.
-func (c *Core) replaced(view *catalog.View) []*worker {
+// replacedWorkers returns the workers of ended processes, whose IDs other
+// processes use now, that calls and jobs in progress still depend on. Such a
+// worker may have been missing from the endpoint list for a while before.
+func (c *Core) replacedWorkers(view *catalog.View) []*worker {
 	found := make(map[*worker]bool)
 	note := func(w *worker) {
-		if w.gone && view.Replaced(w.endpoint.ID, w.endpoint.Incarnation) {
+		if w.removed && view.Replaced(w.endpoint.ID, w.endpoint.Incarnation) {
 			found[w] = true
 		}
 	}
@@ -34,39 +34,40 @@
 	return slices.SortedFunc(maps.Keys(found), func(a, b *worker) int { return cmp.Compare(a.key, b.key) })
 }
 
-// lose ends what a process had in hand that has ended: another one serves under
-// its ID.
+// discardWorker drops the calls and results of a process that has ended while
+// another one serves under its ID.
 //
-// The failure that it guards against: handles name an address and a number, and
-// the new process gives both anew. Results of the old one would be handed on, and
-// given up, as if they were there, and the job would fail or get another's
-// results. Here its calls are lost at once, so that a late answer finds none, its
-// books stay with the old worker, and what jobs under way had there is made again.
-func (c *Core) lose(w *worker, now time.Time) {
+// It guards against this failure: handles consist of an address and a number, and
+// the new process assigns the same ones again. Results of the old process would be
+// passed on, or freed, as if they existed, and the job would fail or get the
+// results of another one. Therefore its calls end as lost at once, so that a late
+// answer is ignored, its results stay recorded at the old worker, and results that
+// jobs still need are produced again.
+func (c *Core) discardWorker(w *worker, now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(w.calls)) {
 		cl := w.calls[id]
 		delete(w.calls, id)
 		delete(c.calls, id)
-		cl.ended(true)
+		cl.countEnded(true)
 		if p := c.pools[w.endpoint.Service]; p != nil {
-			p.window.end(false, p.took, p.places(), now)
+			p.callWindow.callEnded(false, p.avgCallTime, p.callSlots(), now)
 		}
-		c.requeue(cl, now, true)
+		c.requeueCall(cl, now, true)
 	}
-	for _, j := range c.tickets() {
-		if j.engine != nil || !j.reads(w) {
+	for _, j := range c.jobsByTicket() {
+		if j.engine != nil || !j.needsResultsAt(w) {
 			continue
 		}
-		c.unqueue(j)
-		j.drop(w)
-		c.remake(j, now)
+		c.dequeueStages(j)
+		j.dropResultsAt(w)
+		c.requeueMissing(j, now)
 	}
 	clear(w.results)
-	w.used = 0
+	w.usedMemory = 0
 }
 
-// unqueue takes all stages of a job out of their queues.
-func (c *Core) unqueue(j *job) {
+// dequeueStages takes all stages of a job out of their queues.
+func (c *Core) dequeueStages(j *job) {
 	for _, s := range j.stages {
 		if p := c.pools[s.Service]; p != nil {
 			p.remove(s)
@@ -74,62 +75,65 @@
 	}
 }
 
-// keptAt tells whether the worker keeps results of the stage that are still to
-// be read.
-func (s *stage) keptAt(w *worker) bool {
+// hasResultsAt reports whether the worker keeps results of the stage that are
+// still to be read.
+func (s *stage) hasResultsAt(w *worker) bool {
 	return !s.freed && slices.ContainsFunc(s.results, func(r *result) bool { return r != nil && r.worker == w })
 }
 
-// reads tells whether the job is still to read results that the worker keeps.
-func (j *job) reads(w *worker) bool {
-	return slices.ContainsFunc(j.stages, func(s *stage) bool { return s.keptAt(w) })
+// needsResultsAt reports whether the job still has to read results that the worker
+// keeps.
+func (j *job) needsResultsAt(w *worker) bool {
+	return slices.ContainsFunc(j.stages, func(s *stage) bool { return s.hasResultsAt(w) })
 }
 
-// drop takes the results that a worker kept from the stages that are not read yet.
-func (j *job) drop(w *worker) {
+// dropResultsAt resets the pieces whose results the worker kept and that are still
+// to be read.
+func (j *job) dropResultsAt(w *worker) {
 	for _, s := range j.stages {
-		if !s.keptAt(w) {
+		if !s.hasResultsAt(w) {
 			continue
 		}
-		s.tries++
+		s.failedTries++
 		for i, r := range s.results {
 			if r != nil && r.worker == w {
-				s.again(i)
+				s.resetPiece(i)
 			}
 		}
 	}
 }
 
-// again takes the result of a piece away.
-func (s *stage) again(index int) {
+// resetPiece drops the result of a piece, so that the piece runs again.
+func (s *stage) resetPiece(index int) {
 	s.results[index] = nil
-	s.left++
+	s.missing++
 	s.waiting = append(s.waiting, index)
-	s.book()
+	s.updateDemand()
 }
 
-// remake queues what is missing of a job, after what it reads.
-func (c *Core) remake(j *job, now time.Time) {
+// requeueMissing queues the stages that miss results, after the stages whose
+// results they read.
+func (c *Core) requeueMissing(j *job, now time.Time) {
 	j.lostAt = now
-	for j.reopen() {
+	for j.resetFreedInputs() {
 	}
 	for _, s := range j.stages {
-		if s.tries > maxTries {
+		if s.failedTries > maxFailedTries {
 			c.refuse(j, ReasonStageFailed, now)
 			return
 		}
 		if s.done() {
 			continue
 		}
-		s.since = time.Time{}
+		s.readyAt = time.Time{}
 		s.inputs = nil
 	}
 	c.advance(j, now)
 }
 
-// reopen has stages made again whose results were given up, since they had been
-// read, and are now to be read once more. It tells whether there were any.
-func (j *job) reopen() bool {
+// resetFreedInputs resets the stages whose results were freed after they had been
+// read and are now needed again. It reports whether there were any.
+func (j *job) resetFreedInputs() bool {
 	reopened := false
 	for _, s := range j.stages {
 		if s.done() {
@@ -142,7 +146,7 @@
 			}
 			input.freed = false
 			for i := range input.results {
-				input.again(i)
+				input.resetPiece(i)
 			}
 			reopened = true
 		}
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -13,14 +13,14 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// Whatever calls are lost, refused or failed, whoever leaves and however long
-// the process stands still: a grant has all the results of its own stages and
-// none of another request, no result is given up twice or while it is needed,
-// every job ends, and in the end the books are empty.
+// Whatever calls are lost, refused or failed, whichever clients leave, and however
+// long the process is paused: a grant has all results of its own stages and none
+// of another request, no result is freed twice or while it is needed, every job
+// ends, and nothing stays reserved.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(testView([]string{"north", "south"}, 1))
-		w.fate = anyFate(t)
+		w := newSimulation(testView([]string{"north", "south"}, 1))
+		w.decide = randomFaults(t)
 		jobs := rapid.IntRange(1, 25).Draw(t, "jobs")
 		cancelled := make(map[string]bool)
 		for i := range jobs {
@@ -56,17 +56,17 @@
 			assert.Equal(t, n, 1, "%s given up %d times", h, n)
 		}
 		assert.Equal(t, len(w.core.jobs), 0)
-		assertBooksEmpty(t, w.core)
+		assertNothingReserved(t, w.core)
 	})
 }
 
-// checkGrants tells of a grant with inputs of another request, one twice, or
-// some missing.
-func checkGrants(t assert.TestingT, w *world) {
+// checkGrants fails if a grant has an input of another request, or the same input
+// twice.
+func checkGrants(t assert.TestingT, w *simulation) {
 	for ticket, g := range w.grants {
-		seen := make(map[madePiece]bool)
+		seen := make(map[producedPiece]bool)
 		for _, h := range g.Inputs {
-			m := w.made[h]
+			m := w.produced[h]
 			assert.Equal(t, m.request, ticket)
 			assert.Assert(t, !seen[m], "%v twice", m)
 			seen[m] = true
@@ -74,8 +74,8 @@
 	}
 }
 
-// naiveBatch is the plain counterpart of pool.batch: all waiting stages are
-// sorted by rank and then by their latest start, and taken as long as they fit.
+// naiveBatch is the naive counterpart of pool.nextBatch: it sorts all waiting
+// stages by rank and then by startBy, and takes pieces as long as they fit.
 func naiveBatch(p *pool, w *worker, now time.Time) map[string]int {
 	rank := func(s *stage) int {
 		hopeful := !s.startBy.Add(startTolerance).Before(now)
@@ -97,14 +97,14 @@
 		return stages[i].startBy.Before(stages[j].startBy)
 	})
 	taken := make(map[string]int)
-	room, places := w.room(p.roomShare), p.spec.Items
+	room, places := w.freeMemory(p.memoryShare), p.spec.Items
 	for _, s := range stages {
-		patience := homeWait
-		if spare := s.startBy.Sub(s.since); spare >= 0 && len(s.After) == 0 {
-			patience = min(homeWait, time.Duration(spareShare*float64(spare)))
+		patience := maxDomainWait
+		if spare := s.startBy.Sub(s.readyAt); spare >= 0 && len(s.After) == 0 {
+			patience = min(maxDomainWait, time.Duration(domainWaitShare*float64(spare)))
 		}
-		elsewhere := s.home != "" && s.home != w.endpoint.Domain && now.Sub(s.since) < patience && hasHome(p, s.home)
-		if elsewhere || s.avoid == w.endpoint.ID && usableWorkers(p) > 1 {
+		elsewhere := s.preferredDomain != "" && s.preferredDomain != w.endpoint.Domain && now.Sub(s.readyAt) < patience && hasUsableWorker(p, s.preferredDomain)
+		if elsewhere || s.avoidKey == w.endpoint.ID && usableWorkers(p) > 1 {
 			continue
 		}
 		for range s.waiting {
@@ -119,8 +119,8 @@
 	return taken
 }
 
-// hasHome tells whether a usable worker is in the domain.
-func hasHome(p *pool, domain string) bool {
+// hasUsableWorker reports whether a usable worker is in the failure domain.
+func hasUsableWorker(p *pool, domain string) bool {
 	return slices.ContainsFunc(p.workers, func(w *worker) bool { return w.usable() && w.endpoint.Domain == domain })
 }
 
@@ -134,14 +134,14 @@
 	return n
 }
 
-func TestBatchAsTheNaiveOne(t *testing.T) {
+func TestBatchMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := testView([]string{"north", "south"}, 1)
 		c := New("test")
 		c.SetView(epoch, view)
 		p := c.pools[serviceHeavy]
 		w := p.workers[0]
-		w.used = int64(rapid.IntRange(0, 45).Draw(t, "used")) * 1_000_000
+		w.usedMemory = int64(rapid.IntRange(0, 45).Draw(t, "used")) * 1_000_000
 		for i := range rapid.IntRange(0, 30).Draw(t, "stages") {
 			j := newJob(testJob(fmt.Sprint(i)), epoch)
 			j.late = rapid.Bool().Draw(t, "late")
@@ -149,16 +149,16 @@
 			s := j.stages[0]
 			s.waiting = s.waiting[:rapid.IntRange(1, 2).Draw(t, "pieces")]
 			s.ResultBytes = rapid.SampledFrom([]int64{0, 8_000, 3_000_000}).Draw(t, "bytes")
-			s.since = epoch.Add(-time.Duration(rapid.IntRange(0, 600).Draw(t, "age")) * time.Millisecond)
+			s.readyAt = epoch.Add(-time.Duration(rapid.IntRange(0, 600).Draw(t, "age")) * time.Millisecond)
 			s.startBy = epoch.Add(time.Duration(rapid.IntRange(-500, 500).Draw(t, "startBy")) * time.Millisecond)
-			s.home = rapid.SampledFrom([]string{"", "north", "south", "gone"}).Draw(t, "home")
-			s.avoid = rapid.SampledFrom([]string{"", w.endpoint.ID}).Draw(t, "avoid")
+			s.preferredDomain = rapid.SampledFrom([]string{"", "north", "south", "gone"}).Draw(t, "home")
+			s.avoidKey = rapid.SampledFrom([]string{"", w.endpoint.ID}).Draw(t, "avoid")
 			p.push(s)
 		}
 		before := p.waiting
 		want := naiveBatch(p, w, epoch)
 		got := make(map[string]int)
-		pieces := p.batch(w, epoch)
+		pieces := p.nextBatch(w, epoch)
 		for _, piece := range pieces {
 			got[piece.stage.job.Ticket]++
 		}
@@ -167,8 +167,8 @@
 	})
 }
 
-// naiveChoose compares all engines by their cost alone.
-func naiveChoose(es *engines, j *job, now time.Time) float64 {
+// naiveChoose returns the least cost of all usable engines.
+func naiveChoose(es *modelEngines, j *job, now time.Time) float64 {
 	least := -1.0
 	for _, e := range es.all {
 		if ms := e.cost(j, nil, now); e.usable() && (least < 0 || ms < least) {
@@ -178,13 +178,12 @@
 	return least
 }
 
-// The engine chosen costs no more than the best one, but for the bonus that
-// keeps prompts together.
-func TestChooseAsTheNaiveOne(t *testing.T) {
+// The engine chosen costs no more than the cheapest one, except for affinityBonus.
+func TestChooseMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New("test")
 		c.SetView(epoch, testView([]string{"north", "south"}, rapid.IntRange(1, 10).Draw(t, "engines")))
-		es := c.engines[serviceModel]
+		es := c.modelEngines[serviceModel]
 		draw := func(ticket string) *job {
 			j := newJob(testJob(ticket), epoch)
 			j.Prefix = nil
@@ -196,11 +195,11 @@
 		}
 		for i := range rapid.IntRange(0, 30).Draw(t, "before") {
 			j := draw(fmt.Sprint(i))
-			es.read(es.choose(j, nil, epoch), j)
+			es.assign(es.choose(j, nil, epoch), j)
 		}
 		for _, e := range es.all {
 			if rapid.IntRange(0, 4).Draw(t, "failed") == 0 {
-				e.learn(false, epoch)
+				e.observeOutcome(false, epoch)
 			}
 		}
 		j := draw("last")
@@ -209,9 +208,9 @@
 	})
 }
 
-// Bookings end at their time and not before, in whatever order they were made
-// and given up. The naive counterpart looks at all of them each time.
-func TestBookingsExpireAsTheNaiveOnes(t *testing.T) {
+// Results expire at their time and not before, whatever the order in which they
+// were added and released. The naive counterpart checks all of them each time.
+func TestResultExpiryMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := heavySpec
 		w := newWorker(&catalog.Endpoint{}, &spec)
@@ -222,9 +221,10 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				r := &result{bytes: 10}
-				w.used += r.bytes
-				// The result of a lost call is kept from the time at which the call should have ended.
-				w.keep(r, now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "later"))*time.Millisecond))
+				w.usedMemory += r.bytes
+				// The result of a lost call is kept from the time at which the call should have
+				// ended.
+				w.addResult(r, now.Add(time.Duration(rapid.IntRange(0, 1000).Draw(t, "later"))*time.Millisecond))
 				kept[r] = true
 			case 2:
 				for r := range kept {
@@ -237,24 +237,24 @@
 			}
 			w.expire(now)
 			for r := range kept {
-				if !now.Before(r.until) {
+				if !now.Before(r.expiresAt) {
 					delete(kept, r)
 				}
 			}
 			assert.Equal(t, len(w.results), len(kept))
-			assert.Equal(t, w.used, int64(10*len(kept)))
+			assert.Equal(t, w.usedMemory, int64(10*len(kept)))
 		}
 	})
 }
 
-// Users wait in a queue while an endpoint stands idle that could work for them:
-// an event that frees room or a place must start the next call. After each tick
-// no idle endpoint may have a waiting piece that fits, so none waits in vain
-// for longer than a tick.
+// An event that frees memory or a place must start the next call; otherwise
+// clients wait although an endpoint that could serve them is idle. After each tick
+// no idle endpoint may have a waiting piece that fits, so that none waits for
+// longer than a tick.
 func TestNoPieceWaitsForAnIdleEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(testView([]string{"north", "south"}, rapid.IntRange(1, 2).Draw(t, "endpoints")))
-		w.fate = func(StartCall) (CallFault, Fault) {
+		w := newSimulation(testView([]string{"north", "south"}, rapid.IntRange(1, 2).Draw(t, "endpoints")))
+		w.decide = func(StartCall) (CallFault, Fault) {
 			switch rapid.IntRange(0, 9).Draw(t, "fate") {
 			case 0:
 				return CallLost, FaultNone
@@ -265,7 +265,7 @@
 			}
 			return CallOK, FaultNone
 		}
-		w.afterTick = func() { assertNobodyWaits(t, w) }
+		w.afterTick = func() { assertNoIdleWorkerFits(t, w) }
 		for i := range rapid.IntRange(1, 25).Draw(t, "jobs") {
 			j := testJob(fmt.Sprint(i))
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
@@ -280,8 +280,9 @@
 	})
 }
 
-// assertNobodyWaits compares with the naive batch, which moves nothing.
-func assertNobodyWaits(t assert.TestingT, w *world) {
+// assertNoIdleWorkerFits checks with naiveBatch, which changes nothing, that no
+// waiting piece fits an idle worker.
+func assertNoIdleWorkerFits(t assert.TestingT, w *simulation) {
 	for _, p := range w.core.pools {
 		for _, worker := range p.workers {
 			if !worker.idle(w.now) {
--- a/dispatch/owner_bench_test.go
+++ b/dispatch/owner_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// BenchmarkAdmit measures what one more job costs beside so many that wait: it
-// is admitted, queued and given up again.
+// BenchmarkAdmit measures admitting, queueing and cancelling one job while others
+// wait.
 func BenchmarkAdmit(b *testing.B) {
 	for _, jobs := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(jobs), func(b *testing.B) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkEvent measures an event that starts no call while so many jobs wait
-// for endpoints without room.
+// BenchmarkEvent measures an event that starts no call while jobs wait for
+// endpoints without free memory.
 func BenchmarkEvent(b *testing.B) {
 	for _, jobs := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprint(jobs), func(b *testing.B) {
@@ -41,14 +41,14 @@
 	}
 }
 
-// waitingJobs returns a Core with 45 endpoints a stage, all of them full, and
-// so many jobs that wait in time.
+// waitingJobs returns a Core with 45 endpoints a stage, all without free memory,
+// and the given number of waiting on-time jobs.
 func waitingJobs(jobs int) *Core {
 	c := New("test")
 	c.SetView(epoch, testView([]string{"a", "b", "c", "d", "e"}, 9))
 	for _, p := range c.pools {
 		for _, w := range p.workers {
-			w.used = w.spec.Room
+			w.usedMemory = w.spec.Room
 		}
 	}
 	for i := range jobs {
@@ -64,18 +64,18 @@
 	return c
 }
 
-// BenchmarkView measures a new view of 225 engines of which so many prompts are
-// remembered.
+// BenchmarkView measures applying a view of 225 engines that have read the given
+// number of prompts.
 func BenchmarkView(b *testing.B) {
 	for _, prompts := range []int{100, 10000} {
 		b.Run(fmt.Sprint(prompts), func(b *testing.B) {
 			c := New("test")
 			view := testView([]string{"a", "b", "c", "d", "e"}, 45)
 			c.SetView(epoch, view)
-			es := c.engines[serviceModel]
+			es := c.modelEngines[serviceModel]
 			for i := range prompts {
 				own := fmt.Sprint("own", i)
-				es.keep(es.all[i%len(es.all)], []catalog.PrefixPart{{ID: "shared", Tokens: 1}, {ID: own, Tokens: 1}})
+				es.recordPrompt(es.all[i%len(es.all)], []catalog.PrefixPart{{ID: "shared", Tokens: 1}, {ID: own, Tokens: 1}})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/dispatch/owners_test.go
+++ b/dispatch/owners_test.go
@@ -11,34 +11,34 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// sharedQueue is how many calls wait at an endpoint beside the one that runs.
-const sharedQueue = 2
+// endpointQueue is how many calls wait at an endpoint behind the one that runs.
+const endpointQueue = 2
 
-// shared plays several owners of the queue that do not hear of each other over
-// the same endpoints, each of which takes one call and a few that wait.
-type shared struct {
+// sharedEndpoints simulates several queue owners that have no contact with each
+// other over the same endpoints. Each endpoint runs one call and queues a few.
+type sharedEndpoints struct {
 	view   *catalog.View
 	owners []*Core
 	now    time.Time
-	// held are the calls at each endpoint, the first of them running.
-	held map[string][]*heldCall
-	// calls and vain count those made and those refused, granted the jobs, each
-	// by owner.
-	calls, vain, granted []int
-	refused              int
-	next                 int
+	// queues holds the calls at each endpoint; the first one is running.
+	queues map[string][]*queuedCall
+	// calls counts the calls, refusedCalls those that were refused, and granted the
+	// granted jobs, each by owner.
+	calls, refusedCalls, granted []int
+	refusedJobs                  int
+	next                         int
 }
 
-type heldCall struct {
+type queuedCall struct {
 	owner int
 	call  StartCall
 	until time.Time
 }
 
-func newShared(owners int, share float64) *shared {
-	s := &shared{
-		view: testView([]string{"a", "b", "c"}, 12), now: epoch, held: make(map[string][]*heldCall),
-		calls: make([]int, owners), vain: make([]int, owners), granted: make([]int, owners),
+func newSharedEndpoints(owners int, share float64) *sharedEndpoints {
+	s := &sharedEndpoints{
+		view: testView([]string{"a", "b", "c"}, 12), now: epoch, queues: make(map[string][]*queuedCall),
+		calls: make([]int, owners), refusedCalls: make([]int, owners), granted: make([]int, owners),
 	}
 	for i := range owners {
 		c := New(fmt.Sprint("owner-", i))
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *shared) submit(owner int) {
+func (s *sharedEndpoints) submit(owner int) {
 	s.next++
 	if err := s.owners[owner].Submit(s.now, testJob(fmt.Sprint(s.next))); err != nil {
 		panic(err)
@@ -57,41 +57,41 @@
 	s.drain(owner)
 }
 
-func (s *shared) drain(owner int) {
+func (s *sharedEndpoints) drain(owner int) {
 	c := s.owners[owner]
 	for effects := c.Effects(); len(effects) > 0; effects = c.Effects() {
 		for _, e := range effects {
-			s.take(owner, e)
+			s.apply(owner, e)
 		}
 	}
 }
 
-func (s *shared) take(owner int, e Effect) {
+func (s *sharedEndpoints) apply(owner int, e Effect) {
 	c := s.owners[owner]
 	switch e := e.(type) {
 	case StartCall:
 		s.calls[owner]++
-		if len(s.held[e.Endpoint]) > sharedQueue {
-			s.vain[owner]++
+		if len(s.queues[e.Endpoint]) > endpointQueue {
+			s.refusedCalls[owner]++
 			c.CallEnded(s.now, e.Call, CallRefused, nil)
 			return
 		}
-		s.held[e.Endpoint] = append(s.held[e.Endpoint], &heldCall{owner: owner, call: e})
-		s.begin(e.Endpoint)
+		s.queues[e.Endpoint] = append(s.queues[e.Endpoint], &queuedCall{owner: owner, call: e})
+		s.startFirst(e.Endpoint)
 	case Grant:
 		s.granted[owner]++
 		c.FirstEvent(s.now, e.Ticket)
 		c.Done(s.now, e.Ticket, true)
 	case Refuse:
-		s.refused++
+		s.refusedJobs++
 	case Free:
 		c.FreeEnded(s.now, e.ID, true)
 	}
 }
 
-// begin starts the first call at an endpoint.
-func (s *shared) begin(endpoint string) {
-	first := s.held[endpoint][0]
+// startFirst starts the first call at an endpoint.
+func (s *sharedEndpoints) startFirst(endpoint string) {
+	first := s.queues[endpoint][0]
 	if first.until.IsZero() {
 		spec := heavySpec
 		if first.call.Service == serviceLight {
@@ -101,15 +101,15 @@
 	}
 }
 
-func (s *shared) step() {
+func (s *sharedEndpoints) step() {
 	s.now = s.now.Add(10 * time.Millisecond)
-	endpoints := make([]string, 0, len(s.held))
-	for endpoint := range s.held {
+	endpoints := make([]string, 0, len(s.queues))
+	for endpoint := range s.queues {
 		endpoints = append(endpoints, endpoint)
 	}
 	slices.Sort(endpoints)
 	for _, endpoint := range endpoints {
-		s.land(endpoint)
+		s.endDue(endpoint)
 	}
 	for i, c := range s.owners {
 		c.Tick(s.now)
@@ -117,16 +117,16 @@
 	}
 }
 
-// land ends the call at an endpoint that is due, and starts the next one.
-func (s *shared) land(endpoint string) {
-	held := s.held[endpoint]
+// endDue ends the call at an endpoint if it is due, and starts the next one.
+func (s *sharedEndpoints) endDue(endpoint string) {
+	held := s.queues[endpoint]
 	if len(held) == 0 || held[0].until.After(s.now) {
 		return
 	}
 	first := held[0]
-	s.held[endpoint] = held[1:]
+	s.queues[endpoint] = held[1:]
 	if len(held) > 1 {
-		s.begin(endpoint)
+		s.startFirst(endpoint)
 	}
 	var outcomes []Outcome
 	for i := range first.call.Pieces {
@@ -136,12 +136,12 @@
 	s.drain(first.owner)
 }
 
-// play lets each owner get so many jobs a second for a time.
-func (s *shared) play(perSecond float64, d time.Duration) {
+// run submits jobs at the given rate to each owner for a time.
+func (s *sharedEndpoints) run(perSecond float64, d time.Duration) {
 	due := make([]float64, len(s.owners))
 	for end := s.now.Add(d); s.now.Before(end); {
 		for i := range s.owners {
-			// Not all at the same moment.
+			// Spread the owners' submissions in time.
 			due[i] += perSecond * (10 * time.Millisecond).Seconds()
 			for due[i] > float64(i)/float64(len(s.owners)) {
 				due[i]--
@@ -152,25 +152,25 @@
 	}
 }
 
-// vainShare is the part of the calls that found an endpoint full.
-func (s *shared) vainShare() float64 {
+// refusedShare returns the fraction of the calls that found an endpoint full.
+func (s *sharedEndpoints) refusedShare() float64 {
 	calls, vain := 0, 0
 	for i := range s.calls {
 		calls += s.calls[i]
-		vain += s.vain[i]
+		vain += s.refusedCalls[i]
 	}
 	return float64(vain) / float64(max(1, calls))
 }
 
-// TestOwnersThatDoNotHearOfEachOther guards against a fleet that is cut apart,
-// whose owners call all endpoints and keep each other from being served.
-func TestOwnersThatDoNotHearOfEachOther(t *testing.T) {
+// TestIsolatedOwnersShareEndpoints guards against a partitioned fleet whose owners
+// call all endpoints and keep each other from being served.
+func TestIsolatedOwnersShareEndpoints(t *testing.T) {
 	const perSecond, mostInVain = 150, 0.05
 	for _, owners := range []int{2, 3} {
 		t.Run(fmt.Sprint(owners), func(t *testing.T) {
-			s := newShared(owners, 1/float64(owners))
-			s.play(perSecond/float64(owners), 8*time.Second)
-			assert.Assert(t, s.vainShare() < mostInVain, "%.3f of the calls in vain", s.vainShare())
+			s := newSharedEndpoints(owners, 1/float64(owners))
+			s.run(perSecond/float64(owners), 8*time.Second)
+			assert.Assert(t, s.refusedShare() < mostInVain, "%.3f of the calls in vain", s.refusedShare())
 			for owner, n := range s.granted {
 				assert.Assert(t, n > perSecond*8/owners*4/5, "owner %d granted %d", owner, n)
 			}
@@ -178,30 +178,31 @@
 	}
 }
 
-// TestManyOwnersDoNotFlood guards against a fleet that starts as one, each of whose
-// processes calls all endpoints, is refused by most, and asks again at once.
+// TestManyOwnersDoNotFlood guards against a fleet whose processes all start at
+// once: each calls all endpoints, is refused by most, and retries at once.
 func TestManyOwnersDoNotFlood(t *testing.T) {
-	// Each owner may ask in vain a few times a second, whatever the endpoints.
+	// Each owner may be refused a few times a second, however many endpoints there
+	// are.
 	const perSecond, mostInVain, span = 150, 8.0, 8 * time.Second
 	for _, owners := range []int{20, 100} {
 		t.Run(fmt.Sprint(owners), func(t *testing.T) {
-			s := newShared(owners, 0)
-			s.play(perSecond/float64(owners), span)
+			s := newSharedEndpoints(owners, 0)
+			s.run(perSecond/float64(owners), span)
 			granted := 0
 			for owner, n := range s.granted {
-				inVain := float64(s.vain[owner]) / span.Seconds()
+				inVain := float64(s.refusedCalls[owner]) / span.Seconds()
 				assert.Assert(t, inVain < mostInVain, "owner %d: %.1f calls a second in vain", owner, inVain)
 				granted += n
 			}
-			t.Logf("%.3f of the calls in vain, %d granted, %d refused", s.vainShare(), granted, s.refused)
+			t.Logf("%.3f of the calls in vain, %d granted, %d refused", s.refusedShare(), granted, s.refusedJobs)
 			assert.Assert(t, granted > perSecond*int(span.Seconds())/2, "%d granted", granted)
 		})
 	}
 }
 
 // TestRefusedJobsMoveToTheOwner guards against jobs that a process keeps after
-// another has come to own the queue, although all their calls were refused: it
-// would call the endpoints in vain until their deadlines.
+// another has become the queue owner, although all their calls were refused: it
+// would call the endpoints without success until their deadlines.
 func TestRefusedJobsMoveToTheOwner(t *testing.T) {
 	c := New("former")
 	c.SetView(epoch, testView([]string{"north"}, 1))
@@ -218,9 +219,9 @@
 	assert.Equal(t, len(c.jobs), 0)
 }
 
-// TestOwnerKeepsRefusedJobs guards against an owner that gives its own jobs back
-// time and again: the word that it had lost the queue came after the word that it
-// had it again.
+// TestOwnerKeepsRefusedJobs guards against an owner that moves its own jobs again
+// and again, because the message that it lost the queue arrived after the one that
+// it owns it again.
 func TestOwnerKeepsRefusedJobs(t *testing.T) {
 	c := New("owner")
 	c.SetView(epoch, testView([]string{"north"}, 1))
@@ -234,17 +235,17 @@
 	assert.Equal(t, len(c.jobs), 1)
 }
 
-// TestBegunJobsStayWithTheirOwner guards against a job that is moved although the
-// results of its first pieces are known to this process alone.
-func TestBegunJobsStayWithTheirOwner(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+// TestStartedJobsStayWithTheirOwner guards against moving a job although only this
+// process knows the results of its first pieces.
+func TestStartedJobsStayWithTheirOwner(t *testing.T) {
+	w := newSimulation(testView([]string{"north"}, 1))
 	w.submit(testJob("a"))
 	w.run(400 * time.Millisecond)
 	w.core.HandOver(w.now)
-	w.fate = func(StartCall) (CallFault, Fault) { return CallRefused, FaultNone }
+	w.decide = func(StartCall) (CallFault, Fault) { return CallRefused, FaultNone }
 	w.run(400 * time.Millisecond)
 	assert.Equal(t, w.ends["a"], "")
-	w.fate = nil
+	w.decide = nil
 	w.run(3 * time.Second)
 	assert.Assert(t, w.grants["a"].Ticket == "a")
 }
@@ -259,30 +260,31 @@
 	return calls
 }
 
-// TestOwnerThatIsLeftUsesAll guards against an owner that keeps to its part of the
-// endpoints after the others have gone.
-func TestOwnerThatIsLeftUsesAll(t *testing.T) {
-	s := newShared(20, 1.0/20)
-	s.play(10, 3*time.Second)
+// TestRemainingOwnerUsesAllEndpoints guards against an owner that keeps to its
+// share of the endpoints after the other owners have gone.
+func TestRemainingOwnerUsesAllEndpoints(t *testing.T) {
+	s := newSharedEndpoints(20, 1.0/20)
+	s.run(10, 3*time.Second)
 	last := s.owners[0]
 	s.owners = s.owners[:1]
-	s.held = make(map[string][]*heldCall)
+	s.queues = make(map[string][]*queuedCall)
 	for _, cl := range last.calls {
 		last.CallEnded(s.now, cl.id, CallLost, nil)
 		s.drain(0)
 	}
 	last.Share(1)
 	for _, p := range last.pools {
-		assert.Assert(t, p.window.limit >= p.places(), "%s: %d of %d", p.name, p.window.limit, p.places())
+		assert.Assert(t, p.callWindow.limit >= p.callSlots(), "%s: %d of %d", p.name, p.callWindow.limit, p.callSlots())
 	}
 }
 
-// TestOwnerOfAPartGrows guards against an owner that hears few of a fleet whose
-// others are gone for good, and leaves their part of the endpoints idle.
-func TestOwnerOfAPartGrows(t *testing.T) {
-	s := newShared(1, 0.05)
-	s.play(150, 2*time.Second)
+// TestPartialOwnerGrowsItsWindow guards against an owner that is in contact with
+// few processes of a fleet, whose others are gone for good, and leaves their share
+// of the endpoints idle.
+func TestPartialOwnerGrowsItsWindow(t *testing.T) {
+	s := newSharedEndpoints(1, 0.05)
+	s.run(150, 2*time.Second)
 	for _, p := range s.owners[0].pools {
-		assert.Assert(t, p.window.limit >= p.places(), "%s: %d of %d after 2 s", p.name, p.window.limit, p.places())
+		assert.Assert(t, p.callWindow.limit >= p.callSlots(), "%s: %d of %d after 2 s", p.name, p.callWindow.limit, p.callSlots())
 	}
 }
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -10,95 +10,98 @@
 )
 
 const (
-	// timeoutFactor over its expected time makes a call overdue; endpoints of
-	// one service differ in speed by less.
+	// timeoutFactor times its expected time is the timeout of a call, without the
+	// slack. Endpoints of one service differ in speed by less.
 	timeoutFactor = 2.2
-	// timeoutSlack is added for connections and the fetch of inputs.
+	// timeoutSlack is added to each timeout for connecting and for fetching inputs.
 	timeoutSlack = 150 * time.Millisecond
-	// startTolerance is how much later than planned a stage may start for its
-	// job to count as one that can still meet its objective.
+	// startTolerance is how much later than startBy a stage may start for its job to
+	// count as able to meet its objective.
 	startTolerance = 50 * time.Millisecond
-	// maxTries bounds how often pieces of one stage of a job may fail.
-	maxTries = 4
+	// maxFailedTries bounds the failed tries of one stage of a job.
+	maxFailedTries = 4
 )
 
-// pool is one service that runs stages, with its queue.
+// pool is a stage service with its queue.
 type pool struct {
 	name    string
 	spec    *catalog.Batch
 	workers []*worker
-	// usable counts the workers that may get calls, domains are theirs.
+	// usable counts the usable workers; domains are their failure domains.
 	usable  int
 	domains map[string]bool
-	// changed is set when a piece may fit an idle worker that did not before. Time
-	// that passes is looked at with each tick.
+	// changed is true if a piece may now fit an idle worker that it did not fit
+	// before. Each tick sets it too, because the passage of time can do the same.
 	changed bool
-	// sizes counts the queued stages by the size of their results.
-	sizes map[int64]int
-	// queue holds the stages with waiting pieces, by startBy.
+	// queuedSizes counts the queued stages by the size of their results.
+	queuedSizes map[int64]int
+	// queue holds the stages with waiting pieces, sorted by startBy.
 	queue []*stage
-	// waiting counts the waiting pieces.
+	// waiting counts the waiting pieces of the queued stages.
 	waiting int
-	// took is a moving average of the time that calls take.
-	took time.Duration
-	// hold is a moving average of the time from the call that makes a result
-	// until its memory is free again.
-	hold time.Duration
-	// bias is a moving average of how much later than forecast stages start.
-	bias time.Duration
-	// taken is the decaying count of pieces of jobs in time, as of takenFrom.
-	taken     float64
-	takenFrom time.Time
-	// biasFrom is when bias was last learned.
-	biasFrom time.Time
-	// roomShare is the part of the endpoints' memory that calls may book. The
-	// sizes of results are only about known, so books that are full to the last
-	// byte overflow, and a piece that finds no room is made one call later.
-	roomShare float64
-	demand    demand
-	window    window
+	// avgCallTime is the moving average of the duration of calls.
+	avgCallTime time.Duration
+	// avgHoldTime is the moving average of the time from the call that produces a
+	// result until its memory is free again.
+	avgHoldTime time.Duration
+	// forecastError is the moving average of how much later than forecast stages
+	// start.
+	forecastError time.Duration
+	// admittedPieces is the decaying count of pieces of on-time jobs, as of
+	// admittedAsOf.
+	admittedPieces float64
+	admittedAsOf   time.Time
+	// forecastErrorAsOf is when forecastError was last updated.
+	forecastErrorAsOf time.Time
+	// memoryShare is the fraction of the endpoints' memory that calls may reserve. The
+	// sizes of results are only known approximately, so memory that is reserved to the
+	// last byte overflows, and a piece that finds no memory costs an extra call.
+	memoryShare float64
+	demand      demand
+	callWindow  callWindow
 }
 
 const (
-	// roomShareMin bounds how far the share falls, also while results of an
-	// earlier owner of the queue take up memory: part of each call still fits.
-	roomShareMin = 0.8
-	// roomShareLoss is what a piece that finds no room takes off the share, and
-	// roomShareGain what a call without one gives back.
-	roomShareLoss = 0.01
-	roomShareGain = 0.0005
+	// memoryShareMin is the lower bound of memoryShare, which also holds while results
+	// of an earlier queue owner occupy memory: part of each call still fits.
+	memoryShareMin = 0.8
+	// memoryShareLoss is subtracted from memoryShare after a call in which a piece
+	// found no memory, and memoryShareGain is added after one in which all did.
+	memoryShareLoss = 0.01
+	memoryShareGain = 0.0005
 )
 
-// tookWeight is the share of the newest call in the pool's time of a call.
-const tookWeight = 0.125
+// callTimeWeight is the weight of the newest call in a pool's average call time.
+const callTimeWeight = 0.125
 
-// learnTook takes the time of a call of some pieces. Calls in which the endpoint
-// left pieces out are shorter than those that admission counts on.
-func (p *pool) learnTook(took time.Duration, worked, pieces int) {
+// learnCallTime updates the average call time. Calls in which the endpoint skipped
+// pieces are ignored: they are shorter than the calls that admission assumes.
+func (p *pool) learnCallTime(took time.Duration, worked, pieces int) {
 	if worked < pieces {
 		return
 	}
-	p.took += time.Duration(tookWeight * float64(took-p.took))
+	p.avgCallTime += time.Duration(callTimeWeight * float64(took-p.avgCallTime))
 }
 
-// learnRoom takes how many pieces of a call found no room.
-func (p *pool) learnRoom(without int) {
+// learnMemoryShare updates memoryShare; without is the number of pieces of a call
+// that found no memory.
+func (p *pool) learnMemoryShare(without int) {
 	if without > 0 {
-		p.roomShare = max(roomShareMin, p.roomShare-roomShareLoss)
+		p.memoryShare = max(memoryShareMin, p.memoryShare-memoryShareLoss)
 		return
 	}
-	p.roomShare = min(1, p.roomShare+roomShareGain)
+	p.memoryShare = min(1, p.memoryShare+memoryShareGain)
 }
 
 func newPool(name string, spec *catalog.Batch) *pool {
 	return &pool{
-		name: name, spec: spec, took: fullCall(spec), hold: 2 * fullCall(spec), roomShare: 1, demand: newDemand(),
-		domains: make(map[string]bool), sizes: make(map[int64]int), window: window{limit: unbounded},
+		name: name, spec: spec, avgCallTime: fullCallTime(spec), avgHoldTime: 2 * fullCallTime(spec), memoryShare: 1, demand: newDemand(),
+		domains: make(map[string]bool), queuedSizes: make(map[int64]int), callWindow: callWindow{limit: unbounded},
 	}
 }
 
-// fullCall is the nominal time of a call with all its places taken.
-func fullCall(spec *catalog.Batch) time.Duration {
+// fullCallTime returns the nominal time of a call with all places taken.
+func fullCallTime(spec *catalog.Batch) time.Duration {
 	return spec.CallTime + time.Duration(spec.Items)*spec.ItemTime
 }
 
@@ -109,7 +112,7 @@
 	}
 	s.queued = true
 	p.changed = true
-	p.sizes[s.ResultBytes]++
+	p.queuedSizes[s.ResultBytes]++
 	p.waiting += len(s.waiting)
 	at := sort.Search(len(p.queue), func(i int) bool { return p.queue[i].startBy.After(s.startBy) })
 	p.queue = append(p.queue, nil)
@@ -122,7 +125,7 @@
 	if !s.queued {
 		return
 	}
-	p.left(s)
+	p.markDequeued(s)
 	p.waiting -= len(s.waiting)
 	for i, q := range p.queue {
 		if q == s {
@@ -132,25 +135,26 @@
 	}
 }
 
-// left notes that a stage is queued no longer.
-func (p *pool) left(s *stage) {
+// markDequeued notes that a stage is no longer queued.
+func (p *pool) markDequeued(s *stage) {
 	s.queued = false
-	p.sizes[s.ResultBytes]--
-	if p.sizes[s.ResultBytes] == 0 {
-		delete(p.sizes, s.ResultBytes)
+	p.queuedSizes[s.ResultBytes]--
+	if p.queuedSizes[s.ResultBytes] == 0 {
+		delete(p.queuedSizes, s.ResultBytes)
 	}
 }
 
-// smallest is the size of the smallest result that is waited for, in bytes.
-func (p *pool) smallest() int64 {
+// smallestResult returns the size of the smallest result among the queued stages,
+// in bytes.
+func (p *pool) smallestResult() int64 {
 	least := int64(math.MaxInt64)
-	for bytes := range p.sizes {
+	for bytes := range p.queuedSizes {
 		least = min(least, bytes)
 	}
 	return least
 }
 
-// countWorkers brings up to date which workers may get calls.
+// countWorkers updates usable and domains.
 func (p *pool) countWorkers() {
 	p.usable = 0
 	clear(p.domains)
@@ -163,106 +167,108 @@
 	p.changed = true
 }
 
-// places is how many calls the endpoints take at a time.
-func (p *pool) places() int { return p.usable * p.spec.Slots }
+// callSlots returns how many calls the usable endpoints take at a time.
+func (p *pool) callSlots() int { return p.usable * p.spec.Slots }
 
-// width is how many of the endpoints the owner may use at a time.
-func (p *pool) width() int {
-	return min(p.usable, max(1, p.window.limit/max(1, p.spec.Slots)))
+// allowedWorkers returns how many endpoints the owner may use at a time.
+func (p *pool) allowedWorkers() int {
+	return min(p.usable, max(1, p.callWindow.limit/max(1, p.spec.Slots)))
 }
 
-// batch takes pieces off the queue for one call to w. Jobs that can still meet
-// their objective, or have pieces made already, go before those that cannot:
-// half-made jobs hold room at endpoints, and to put them off stalls everything.
-func (p *pool) batch(w *worker, now time.Time) []placed {
-	pick := picker{pool: p, worker: w, now: now, room: w.room(p.roomShare), places: w.places()}
-	if pick.room < p.smallest() {
+// nextBatch takes pieces off the queue for one call to w. Jobs that can still meet
+// their objective, or that have started, go before those that cannot:
+// half-finished jobs hold memory at endpoints, and delaying them stalls
+// everything.
+func (p *pool) nextBatch(w *worker, now time.Time) []callPiece {
+	pick := batchBuilder{pool: p, worker: w, now: now, freeMemory: w.freeMemory(p.memoryShare), places: w.places()}
+	if pick.freeMemory < p.smallestResult() {
 		return nil
 	}
 	if w.suspect {
-		pick.probe()
-		return pick.taken
+		pick.takeProbe()
+		return pick.pieces
 	}
 	first := sort.Search(len(p.queue), func(i int) bool { return !p.queue[i].startBy.Add(startTolerance).Before(now) })
 	hopeless, hopeful := p.queue[:first], p.queue[first:]
-	pick.pass(hopeful, func(s *stage) bool { return !s.job.late })
-	pick.pass(hopeful, func(s *stage) bool { return s.job.late })
-	pick.pass(hopeless, func(s *stage) bool { return s.job.started })
-	pick.pass(hopeless, func(s *stage) bool { return !s.job.started })
-	pick.sweep()
-	return pick.taken
+	pick.takeMatching(hopeful, func(s *stage) bool { return !s.job.late })
+	pick.takeMatching(hopeful, func(s *stage) bool { return s.job.late })
+	pick.takeMatching(hopeless, func(s *stage) bool { return s.job.started })
+	pick.takeMatching(hopeless, func(s *stage) bool { return !s.job.started })
+	pick.removeEmptyStages()
+	return pick.pieces
 }
 
-// picker fills one call.
-type picker struct {
-	pool   *pool
-	worker *worker
-	now    time.Time
-	room   int64
-	places int
-	taken  []placed
+// batchBuilder collects the pieces of one call.
+type batchBuilder struct {
+	pool       *pool
+	worker     *worker
+	now        time.Time
+	freeMemory int64
+	places     int
+	pieces     []callPiece
 }
 
-// pass walks a part of the queue once for the stages that fit.
-func (k *picker) pass(queue []*stage, want func(*stage) bool) {
+// takeMatching takes pieces of the stages in a part of the queue that want accepts
+// and that fit the worker.
+func (k *batchBuilder) takeMatching(queue []*stage, want func(*stage) bool) {
 	for _, s := range queue {
 		if k.places == 0 {
 			return
 		}
-		if want(s) && k.fits(s) {
+		if want(s) && k.canTake(s) {
 			k.take(s)
 		}
 	}
 }
 
-// probe takes one piece that can bear to be made late: of those in time the one
-// with the most time to spare.
-func (k *picker) probe() {
+// takeProbe takes one piece for a suspect worker. It takes the one with the latest
+// startBy, which can best afford a delay.
+func (k *batchBuilder) takeProbe() {
 	for _, s := range slices.Backward(k.pool.queue) {
-		if !k.fits(s) {
+		if !k.canTake(s) {
 			continue
 		}
 		k.take(s)
 		break
 	}
-	k.sweep()
+	k.removeEmptyStages()
 }
 
-// fits tells whether pieces of s may be made at the worker now.
-func (k *picker) fits(s *stage) bool {
-	if len(s.waiting) == 0 || s.ResultBytes > k.room {
+// canTake reports whether pieces of s may run at the worker now.
+func (k *batchBuilder) canTake(s *stage) bool {
+	if len(s.waiting) == 0 || s.ResultBytes > k.freeMemory {
 		return false
 	}
-	if s.avoid == k.worker.key && k.pool.usable > 1 {
+	if s.avoidKey == k.worker.key && k.pool.usable > 1 {
 		return false
 	}
 	return s.mayRunIn(k.worker.endpoint.Domain, k.pool, k.now)
 }
 
 // take moves waiting pieces of s into the call.
-func (k *picker) take(s *stage) {
+func (k *batchBuilder) take(s *stage) {
 	n := min(len(s.waiting), k.places)
 	if s.ResultBytes > 0 {
-		n = min(n, int(k.room/s.ResultBytes))
+		n = min(n, int(k.freeMemory/s.ResultBytes))
 	}
 	for _, index := range s.waiting[:n] {
-		k.taken = append(k.taken, placed{stage: s, index: index})
+		k.pieces = append(k.pieces, callPiece{stage: s, index: index})
 	}
 	s.waiting = s.waiting[n:]
-	s.book()
+	s.updateDemand()
 	k.pool.waiting -= n
 	k.places -= n
-	k.room -= int64(n) * s.ResultBytes
+	k.freeMemory -= int64(n) * s.ResultBytes
 	if len(s.waiting) == 0 {
-		k.pool.began(s, k.now)
+		k.pool.learnForecastError(s, k.now)
 		return
 	}
-	s.settle(k.worker.endpoint.Domain)
+	s.pinDomain(k.worker.endpoint.Domain)
 }
 
-// sweep drops stages from the queue that have no waiting pieces left.
-func (k *picker) sweep() {
-	if len(k.taken) == 0 {
+// removeEmptyStages removes stages without waiting pieces from the queue.
+func (k *batchBuilder) removeEmptyStages() {
+	if len(k.pieces) == 0 {
 		return
 	}
 	kept := k.pool.queue[:0]
@@ -271,7 +277,7 @@
 			kept = append(kept, s)
 			continue
 		}
-		k.pool.left(s)
+		k.pool.markDequeued(s)
 	}
 	clear(k.pool.queue[len(kept):])
 	k.pool.queue = kept
--- a/dispatch/prompt_test.go
+++ b/dispatch/prompt_test.go
@@ -8,25 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-func near(t *testing.T, got, want time.Duration) {
+func assertNear(t *testing.T, got, want time.Duration) {
 	t.Helper()
 	assert.Assert(t, (got-want).Abs() < want/10, "%v, want about %v", got, want)
 }
 
-// Engines of a new deployment read a third as fast as those known so far.
-func TestPromptTimesFollowTheEngines(t *testing.T) {
+// The engines of a new deployment read a third as fast as the prior observations
+// say.
+func TestPromptTimesAdapt(t *testing.T) {
 	times := newPromptTimes()
-	near(t, times.of(0), promptBaseGuess)
+	assertNear(t, times.estimate(0), promptBaseGuess)
 	for i := range 400 {
 		tokens := 1_000 * (1 + i%30)
 		times.learn(tokens, 100*time.Millisecond+time.Duration(tokens)*80*time.Microsecond)
 	}
-	near(t, times.of(0), 100*time.Millisecond)
-	near(t, times.of(20_000), 1700*time.Millisecond)
+	assertNear(t, times.estimate(0), 100*time.Millisecond)
+	assertNear(t, times.estimate(20_000), 1700*time.Millisecond)
 }
 
-// What engines and clocks say may be absurd; no single time outweighs the others.
-func TestPromptTimesBearAbsurdInput(t *testing.T) {
+// Times reported by engines and clocks may be absurd; no single one may outweigh
+// the others.
+func TestPromptTimesBoundExtremeInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := newPromptTimes()
 		for range rapid.IntRange(0, 50).Draw(t, "observations") {
@@ -34,40 +36,41 @@
 			took := time.Duration(rapid.Int64().Draw(t, "took"))
 			times.learn(tokens, took)
 		}
-		short, long := times.of(100), times.of(100_000)
+		short, long := times.estimate(100), times.estimate(100_000)
 		assert.Assert(t, short >= 0 && long >= short, "%v and %v", short, long)
 		assert.Assert(t, long <= promptTimeMax+100_000*promptTokenMax)
 	})
 }
 
-// All prompts of a deployment are of one length: what each token takes cannot be
-// told from them, what such a prompt takes can.
+// If all prompts of a deployment have one length, the time for each token cannot
+// be determined, but the time for such a prompt can.
 func TestPromptTimesOfOneLength(t *testing.T) {
 	for _, tokens := range []int{0, 17, 4_999, 33_333, 99_991} {
 		times := newPromptTimes()
 		for range 100_000 {
 			times.learn(tokens, 300*time.Millisecond)
 		}
-		near(t, times.of(tokens), 300*time.Millisecond)
-		assert.Assert(t, times.of(2*tokens) <= 650*time.Millisecond, "%d tokens: %v", 2*tokens, times.of(2*tokens))
+		assertNear(t, times.estimate(tokens), 300*time.Millisecond)
+		assert.Assert(t, times.estimate(2*tokens) <= 650*time.Millisecond, "%d tokens: %v", 2*tokens, times.estimate(2*tokens))
 	}
 }
 
-// The first event of a request is told twice, as after a resend: it counts once.
+// The first event of a request may be reported twice, as after a resend; it must
+// count once.
 func TestFirstEventCountsOnce(t *testing.T) {
-	w := newWorld(testView([]string{"north"}, 1))
+	w := newSimulation(testView([]string{"north"}, 1))
 	w.submit(testJob("a"))
 	w.run(2 * time.Second)
-	e := w.core.engines[serviceModel].all[0]
+	e := w.core.modelEngines[serviceModel].all[0]
 	slow, learned := e.slowness, e.times.n
 	w.core.FirstEvent(w.now, "a")
 	assert.Equal(t, e.slowness, slow)
 	assert.Equal(t, e.times.n, learned)
 }
 
-// A long prompt is read for nearly a second. Its pieces waited 300 ms for the
-// endpoint in the engine's domain, as those of short prompts do, and half of the
-// longest tenth of all prompts missed their objective.
+// A long prompt is read for nearly a second. Its pieces waited 300 ms for an
+// endpoint in the engine's failure domain, as those of short prompts do, and half
+// of the longest tenth of all prompts missed their objective.
 func TestLongPromptsWaitLessForTheirDomain(t *testing.T) {
 	for name, test := range map[string]struct {
 		tokens  int
@@ -81,7 +84,7 @@
 		t.Run(name, func(t *testing.T) {
 			view := testView([]string{"north", "south"}, 1)
 			view.Endpoint("model-south-0").Leaving = true
-			w := newWorld(view)
+			w := newSimulation(view)
 			w.slow["encode-north-0"] = 20
 			busy := testJob("busy")
 			busy.Stages = busy.Stages[:1]
@@ -98,13 +101,13 @@
 	}
 }
 
-// An engine turns five times slower while its health is good. Users whose prompts
-// it reads wait five times as long, until others get the prompts; once it is well
-// again it gets its share.
+// An engine becomes five times slower while its health is good, and clients whose
+// prompts it reads wait five times as long. Other engines must get the prompts,
+// and the engine must get its share again once it has recovered.
 func TestSlowEngineGetsFewerPrompts(t *testing.T) {
 	c := New("test")
 	c.SetView(epoch, testView([]string{"north"}, 2))
-	es := c.engines[serviceModel]
+	es := c.modelEngines[serviceModel]
 	slow := es.all[0]
 	for range 20 {
 		slow.slowness.learn(5*time.Second, time.Second, epoch)
@@ -115,15 +118,15 @@
 	for range 3 {
 		e := es.choose(j, nil, epoch)
 		assert.Assert(t, e != slow)
-		e.begin(newJob(Job{Ticket: e.key, TokensIn: 10_000}, epoch))
+		e.addRequest(newJob(Job{Ticket: e.key, TokensIn: 10_000}, epoch))
 	}
 	later := epoch.Add(20 * slownessHalfLife)
 	assert.Equal(t, slow.slowness.factor(later), 1.0)
 	assert.Equal(t, es.choose(j, nil, later), slow)
 }
 
-// Times that cannot be say nothing of an engine.
-func TestSlownessBearsAbsurdInput(t *testing.T) {
+// Impossible times must not affect the slowness.
+func TestSlownessBoundsExtremeInput(t *testing.T) {
 	var s slowness
 	s.learn(-time.Second, time.Second, epoch)
 	s.learn(time.Second, 0, epoch)
--- a/dispatch/reach.go
+++ b/dispatch/reach.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Reach notes the failure domains that this process, the owner, does not reach. The
-// endpoints there are likely cut off as well.
+// Reach updates the failure domains that this process, the queue owner, cannot
+// reach. The endpoints there are probably cut off as well.
 //
-// The failure that it guards against: an owner that takes over while a domain is cut
-// off sends a full call to each endpoint there, and requests to its engines. All are
-// lost, and late by the time that it takes to tell.
+// It guards against this failure: an owner that takes over while a failure domain
+// is cut off sends a full call to each endpoint there, and requests to its
+// engines. All of them are lost, and delayed by the time until that is detected.
 func (c *Core) Reach(unreached []string) {
 	if slices.Equal(unreached, c.unreached) {
 		return
@@ -20,7 +20,7 @@
 			w.suspect = w.suspect || lost(w.endpoint.Domain)
 		}
 	}
-	for _, es := range c.engines {
+	for _, es := range c.modelEngines {
 		for _, e := range es.all {
 			e.unreached = slices.Contains(unreached, e.endpoint.Domain)
 		}
--- a/dispatch/reach_test.go
+++ b/dispatch/reach_test.go
@@ -8,17 +8,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestUnreachedDomainGetsNoFullCalls guards against an owner that takes over while a
-// failure domain is cut off: its first call to each endpoint there is lost, with
-// all its pieces, and so are requests to the engines there.
+// TestUnreachedDomainGetsNoFullCalls guards against an owner that takes over while
+// a failure domain is cut off: its first call to each endpoint there would be lost
+// with all its pieces, and so would requests to the engines there.
 func TestUnreachedDomainGetsNoFullCalls(t *testing.T) {
 	const cut = "north"
 	view := testView([]string{cut, "south"}, 3)
-	w := newWorld(view)
+	w := newSimulation(view)
 	w.core.Promoted(1)
 	w.core.Reach([]string{cut})
 	in := func(endpoint string) bool { return view.Endpoint(endpoint).Domain == cut }
-	w.fate = func(c StartCall) (CallFault, Fault) {
+	w.decide = func(c StartCall) (CallFault, Fault) {
 		if !in(c.Endpoint) {
 			return CallOK, FaultNone
 		}
@@ -31,10 +31,10 @@
 	for _, g := range w.grants {
 		assert.Assert(t, !in(g.Endpoint), "%s was granted", g.Endpoint)
 	}
-	// The cut heals.
+	// The domain can be reached again.
 	w.core.Reach(nil)
-	w.fate = nil
-	calls := callsTo(w)
+	w.decide = nil
+	calls := recordCalls(w)
 	w.burst(40, 3*time.Second)
 	most, granted := 0, 0
 	for _, e := range view.Endpoints(serviceHeavy) {
@@ -52,13 +52,13 @@
 	assert.Assert(t, most > 1 && granted > 0, "%d pieces at most, %d grants after the heal", most, granted)
 }
 
-// TestUnreachedDomainThatAnswersIsUsed guards against a failure domain whose gateways
-// were all lost, and whose endpoints are well and are left idle.
+// TestUnreachedDomainThatAnswersIsUsed guards against idle endpoints in a failure
+// domain whose gateways were all lost while its endpoints are healthy.
 func TestUnreachedDomainThatAnswersIsUsed(t *testing.T) {
-	w := newWorld(testView([]string{"north", "south"}, 2))
+	w := newSimulation(testView([]string{"north", "south"}, 2))
 	w.core.Promoted(1)
 	w.core.Reach([]string{"north"})
-	calls := callsTo(w)
+	calls := recordCalls(w)
 	w.burst(40, 2*time.Second)
 	for i := range 2 {
 		most := 0
--- a/dispatch/readers_test.go
+++ b/dispatch/readers_test.go
@@ -8,26 +8,26 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// TestGoneEngineIsNoReader guards against prompts that are sent, for the sake of
-// their shared parts, to an engine that has left, and against a view that makes
-// an owner forget where the others were read.
-func TestGoneEngineIsNoReader(t *testing.T) {
+// TestRemovedEngineIsNoReader guards against sending prompts to an engine that has
+// left because it once read their shared parts, and against a view update that
+// drops the remaining readers as well.
+func TestRemovedEngineIsNoReader(t *testing.T) {
 	c := New("test")
-	c.SetView(epoch, testView([]string{"north", "south"}, compareAll))
-	es := c.engines[serviceModel]
+	c.SetView(epoch, testView([]string{"north", "south"}, maxFullComparison))
+	es := c.modelEngines[serviceModel]
 	north, south := es.all[0], es.all[len(es.all)-1]
 	assert.Assert(t, north.endpoint.Domain != south.endpoint.Domain)
 	prefix := []catalog.PrefixPart{{ID: "shared", Tokens: 900}, {ID: "own", Tokens: 100}}
-	es.keep(north, prefix)
-	es.keep(south, prefix)
+	es.recordPrompt(north, prefix)
+	es.recordPrompt(south, prefix)
 
-	c.SetView(epoch, testView([]string{south.endpoint.Domain}, compareAll))
-	readers := c.engines[serviceModel].readers
+	c.SetView(epoch, testView([]string{south.endpoint.Domain}, maxFullComparison))
+	readers := c.modelEngines[serviceModel].readers
 	assert.DeepEqual(t, keysOf(readers["shared"]), []string{south.key})
 	assert.Equal(t, len(readers["own"]), 0)
 
-	c.SetView(epoch, testView([]string{north.endpoint.Domain}, compareAll))
-	assert.Equal(t, len(c.engines[serviceModel].readers), 0)
+	c.SetView(epoch, testView([]string{north.endpoint.Domain}, maxFullComparison))
+	assert.Equal(t, len(c.modelEngines[serviceModel].readers), 0)
 }
 
 func keysOf(engines []*engine) []string {
--- a/dispatch/restarts_test.go
+++ b/dispatch/restarts_test.go
@@ -12,15 +12,15 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// Endpoints start again at any moment, in series and while the same results are
-// made again. Whatever the order, no request gets a result of an ended process,
-// each job comes to an end, and no books or queues keep anything.
+// Endpoints restart at any moment, repeatedly and while lost results are being
+// produced again. In any order, no request may get a result of an ended process,
+// each job must end, and no memory, call or queue entry may be left behind.
 func TestRestartsAtAnyMoment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		view := bornAll(testView([]string{"north"}, 2))
-		w := newWorld(view)
+		view := viewWithIncarnations(testView([]string{"north"}, 2))
+		w := newSimulation(view)
 		lost := make(map[string]bool)
-		w.fate = func(call StartCall) (CallFault, Fault) {
+		w.decide = func(call StartCall) (CallFault, Fault) {
 			for _, p := range call.Pieces {
 				for _, h := range p.Inputs {
 					if lost[h] {
@@ -38,10 +38,10 @@
 			w.run(time.Duration(rapid.IntRange(0, 15).Draw(t, "tens_ms")) * 10 * time.Millisecond)
 			id := rapid.SampledFrom([]string{"encode-north-0", "encode-north-1", "rank-north-0", "rank-north-1", "model-north-0"}).Draw(t, "id")
 			granted := len(w.grants)
-			for h := range w.made {
+			for h := range w.produced {
 				lost[h] = lost[h] || strings.HasPrefix(h, id+":80/")
 			}
-			view = restarted(view, catalog.Incarnation(born+2), id)
+			view = restartedView(view, catalog.Incarnation(born+2), id)
 			w.core.SetView(w.now, view)
 			assert.Equal(t, len(w.grants), granted)
 			before := len(w.grants)
@@ -64,7 +64,7 @@
 			assert.Equal(t, p.waiting, 0, name)
 			assert.Equal(t, len(p.queue), 0, name)
 			for _, worker := range p.workers {
-				assert.Equal(t, worker.used, int64(0), worker.key)
+				assert.Equal(t, worker.usedMemory, int64(0), worker.key)
 				assert.Equal(t, len(worker.calls), 0, worker.key)
 			}
 		}
--- a/dispatch/results.go
+++ b/dispatch/results.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// freeConsumed gives up the results of stages that have been read by all
-// stages that read them. The next calls need the room.
+// freeConsumed frees the results of stages that all their consumers have read: the
+// next calls need the memory.
 func (c *Core) freeConsumed(j *job, now time.Time) {
 	for _, s := range j.stages {
 		if s.freed || s.Pieces == 0 || !s.done() || !j.consumed(s.index) {
@@ -14,19 +14,19 @@
 	}
 }
 
-// free gives up results that are still booked, with one effect a worker. Their
-// memory stays booked until the endpoint has answered: a call that is sent
-// meanwhile may overtake the message, and its pieces would find no room.
+// free frees results that are still recorded, with one effect for each worker.
+// Their memory stays reserved until the endpoint has answered: a call sent
+// meanwhile may overtake the message, and its pieces would find no memory.
 func (c *Core) free(results []*result, now time.Time) {
 	given := make(map[*worker][]*result)
 	var order []*worker
 	for _, r := range results {
-		if r == nil || r.givenUp || !r.worker.keeps(r) {
+		if r == nil || r.discarded || !r.worker.hasResult(r) {
 			continue
 		}
-		r.givenUp = true
-		c.held(r, now)
-		if r.worker.gone {
+		r.discarded = true
+		c.learnHoldTime(r, now)
+		if r.worker.removed {
 			r.worker.release(r)
 			continue
 		}
@@ -36,9 +36,9 @@
 		given[r.worker] = append(given[r.worker], r)
 	}
 	for _, w := range order {
-		c.nextID++
-		c.frees[c.nextID] = given[w]
-		c.emit(Free{ID: c.nextID, Endpoint: w.endpoint.ID, Addr: w.endpoint.Addr, Handles: handlesOf(given[w])})
+		c.lastEffectID++
+		c.pendingFrees[c.lastEffectID] = given[w]
+		c.emit(Free{ID: c.lastEffectID, Endpoint: w.endpoint.ID, Addr: w.endpoint.Addr, Handles: handlesOf(given[w])})
 	}
 }
 
@@ -50,40 +50,41 @@
 	return handles
 }
 
-// FreeEnded takes the answer to a Free. Results that the endpoint may still
-// keep stay booked until it drops them by itself.
+// FreeEnded handles the answer to a Free. If it failed, the endpoint may still
+// keep the results, so they stay recorded until they expire.
 func (c *Core) FreeEnded(now time.Time, id uint64, ok bool) {
-	results := c.frees[id]
-	delete(c.frees, id)
+	results := c.pendingFrees[id]
+	delete(c.pendingFrees, id)
 	if !ok {
 		return
 	}
 	for _, r := range results {
 		r.worker.release(r)
-		c.roomFreed(r.worker)
+		c.memoryFreed(r.worker)
 	}
 	c.dispatch(now)
 }
 
-// roomFreed notes that a worker may have room for what did not fit.
-func (c *Core) roomFreed(w *worker) {
+// memoryFreed notes that a worker may have memory for pieces that did not fit
+// before.
+func (c *Core) memoryFreed(w *worker) {
 	if p := c.pools[w.endpoint.Service]; p != nil {
 		p.changed = true
 	}
 }
 
-// held learns how long results take up memory.
-func (c *Core) held(r *result, now time.Time) {
+// learnHoldTime updates the average hold time with a result that is being freed.
+func (c *Core) learnHoldTime(r *result, now time.Time) {
 	if p := c.pools[r.worker.endpoint.Service]; p != nil {
-		p.hold += time.Duration(holdWeight * float64(now.Sub(r.since)-p.hold))
+		p.avgHoldTime += time.Duration(holdTimeWeight * float64(now.Sub(r.reservedAt)-p.avgHoldTime))
 	}
 }
 
-// holds tells whether an endpoint keeps results of the job.
-func (j *job) holds() bool {
+// keepsResults reports whether an endpoint keeps results of the job.
+func (j *job) keepsResults() bool {
 	for _, s := range j.stages {
 		for _, r := range s.results {
-			if r != nil && !r.givenUp && r.worker.keeps(r) {
+			if r != nil && !r.discarded && r.worker.hasResult(r) {
 				return true
 			}
 		}
--- a/dispatch/shortage_test.go
+++ b/dispatch/shortage_test.go
@@ -10,9 +10,9 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// refusals plays a burst and returns what was refused.
+// refusals submits a burst and returns the refusals.
 func refusals(view *catalog.View, jobs int, job func(i int) Job) []Refuse {
-	w := newWorld(view)
+	w := newSimulation(view)
 	var refused []Refuse
 	for i := range jobs {
 		if err := w.core.Submit(w.now, job(i)); err != nil {
@@ -24,16 +24,16 @@
 				refused = append(refused, r)
 			}
 		}
-		w.take(effects)
+		w.apply(effects)
 		w.run(10 * time.Millisecond)
 	}
 	return refused
 }
 
-// TestRefusalsNameWhatWasShort guards against refusals in a burst of which nobody
-// can tell whether endpoints, memory or engines were short, those of jobs that
-// give way to more urgent ones included.
-func TestRefusalsNameWhatWasShort(t *testing.T) {
+// TestRefusalsNameTheShortage guards against refusals in a burst that do not say
+// whether endpoints, memory or engines were short, including those of displaced
+// jobs.
+func TestRefusalsNameTheShortage(t *testing.T) {
 	burst := func(bytes int64) func(int) Job {
 		return func(i int) Job {
 			j := testJob(fmt.Sprint(i))
