--- a/dispatch/stats.go
+++ b/dispatch/stats.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// Stats is the state of the queues for metrics and logs.
+// Stats is the state of the queues, for metrics and logs.
 type Stats struct {
 	Jobs  int `json:"jobs"`
 	Calls int `json:"calls"`
-	// Lag is how late events are handled, Share the part of the fleet that this
-	// process hears as the owner.
+	// Lag is the delay with which events are handled. Share is the fraction of the
+	// fleet that this process, as the owner, is in contact with.
 	Lag   time.Duration `json:"lag"`
 	Share float64       `json:"share"`
 	Pools []PoolStats   `json:"pools"`
-	// Workers are the endpoints of stages, Engines those of models.
+	// Workers are the stage endpoints, Engines the model engines.
 	Workers []WorkerStats `json:"workers"`
 	Engines []EngineStats `json:"engines"`
 }
 
-// WorkerStats is what the queue's owner believes of one endpoint of a stage.
+// WorkerStats is the queue owner's view of one stage endpoint.
 type WorkerStats struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
 	Calls    int    `json:"calls"`
-	// Used and Room are the booked and the whole memory for results in bytes.
+	// Used and Room are the reserved and the total memory for results, in bytes.
 	Used int64 `json:"used"`
 	Room int64 `json:"room"`
-	// Speed is the measured time of calls over the nominal one.
+	// Speed is the measured over the nominal call time.
 	Speed float64 `json:"speed"`
-	// Paused endpoints have just failed or refused a call.
+	// Paused is true while the endpoint gets no calls because one failed or was
+	// refused.
 	Paused bool `json:"paused,omitempty"`
-	// Suspect endpoints get one piece a call: the last one was overdue, or their
-	// failure domain is not reached.
+	// Suspect is true if the endpoint gets one piece a call, because its last call was
+	// lost or its failure domain cannot be reached.
 	Suspect   bool `json:"suspect,omitempty"`
 	Leaving   bool `json:"leaving,omitempty"`
 	Evacuated bool `json:"evacuated,omitempty"`
-	// ColdLeft is how much longer the endpoint bears few calls.
+	// ColdLeft is the time for which the endpoint still accepts only a few calls.
 	ColdLeft time.Duration `json:"cold_left,omitempty"`
 }
 
-// EngineStats is what the queue's owner believes of one model engine.
+// EngineStats is the queue owner's view of one model engine.
 type EngineStats struct {
 	Endpoint string `json:"endpoint"`
 	Service  string `json:"service"`
@@ -49,14 +50,15 @@
 	// Prefill is the number of prompt tokens still to be read.
 	Prefill     int     `json:"prefill"`
 	FailureRate float64 `json:"failure_rate"`
-	// Slowness is what its expected time to a first event is multiplied by.
+	// Slowness is the factor by which the expected time to a first event is
+	// multiplied.
 	Slowness float64 `json:"slowness"`
 	Paused   bool    `json:"paused,omitempty"`
-	// Unreached engines are in a failure domain that the owner does not reach.
+	// Unreached is true while the owner cannot reach the engine's failure domain.
 	Unreached bool `json:"unreached,omitempty"`
 	Leaving   bool `json:"leaving,omitempty"`
 	Evacuated bool `json:"evacuated,omitempty"`
-	// ColdLeft is how much longer the endpoint bears few requests.
+	// ColdLeft is the time for which the endpoint still accepts only a few requests.
 	ColdLeft time.Duration `json:"cold_left,omitempty"`
 }
 
@@ -66,22 +68,22 @@
 	Waiting int    `json:"waiting"`
 	Workers int    `json:"workers"`
 	Busy    int    `json:"busy"`
-	// RoomUsed is the part of the workers' memory that is booked.
-	RoomUsed float64       `json:"room_used"`
-	Took     time.Duration `json:"took"`
+	// RoomUsed is the fraction of the workers' memory that is reserved.
+	RoomUsed    float64       `json:"room_used"`
+	AvgCallTime time.Duration `json:"took"`
 }
 
 // Stats returns the state at now.
 func (c *Core) Stats(now time.Time) Stats {
-	stats := Stats{Jobs: len(c.jobs), Calls: len(c.calls), Lag: c.lag, Share: c.share}
-	for _, p := range c.byName {
-		s := PoolStats{Service: p.name, Waiting: p.waiting, Workers: p.usable, Took: p.took}
+	stats := Stats{Jobs: len(c.jobs), Calls: len(c.calls), Lag: c.lag, Share: c.fleetShare}
+	for _, p := range c.sortedPools {
+		s := PoolStats{Service: p.name, Waiting: p.waiting, Workers: p.usable, AvgCallTime: p.avgCallTime}
 		var used, room int64
 		for _, w := range p.workers {
 			if len(w.calls) > 0 {
 				s.Busy++
 			}
-			used += w.used
+			used += w.usedMemory
 			room += w.spec.Room
 			stats.Workers = append(stats.Workers, w.stats(now))
 		}
@@ -90,8 +92,8 @@
 		}
 		stats.Pools = append(stats.Pools, s)
 	}
-	for _, service := range slices.Sorted(maps.Keys(c.engines)) {
-		for _, e := range c.engines[service].all {
+	for _, service := range slices.Sorted(maps.Keys(c.modelEngines)) {
+		for _, e := range c.modelEngines[service].all {
 			stats.Engines = append(stats.Engines, e.stats(now))
 		}
 	}
@@ -103,7 +105,7 @@
 		Endpoint: w.endpoint.ID,
 		Service:  w.endpoint.Service,
 		Calls:    len(w.calls),
-		Used:     w.used,
+		Used:     w.usedMemory,
 		Room:     w.spec.Room,
 		Speed:    w.speed,
 		Paused:   w.pause.Active(now),
@@ -119,8 +121,8 @@
 	return EngineStats{
 		Endpoint:    e.endpoint.ID,
 		Service:     e.endpoint.Service,
-		Running:     len(e.runs),
-		Prefill:     e.prefill,
+		Running:     len(e.requests),
+		Prefill:     e.prefillTokens,
 		FailureRate: e.failures.At(failHalfLife, now),
 		Slowness:    e.slowness.factor(now),
 		Paused:      e.pause.Active(now),
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Tick ends what has waited in vain, drops bookings that have run out, and
-// starts calls at workers whose pause is over. The shell calls it about every
-// 20 ms while there are jobs.
+// Tick grants jobs that wait for an engine, gives up those that have waited too
+// long, expires results and requests, and starts calls at workers whose pause is
+// over. The scheduler calls it about every 20 ms while there are jobs.
 func (c *Core) Tick(now time.Time) {
 	for _, p := range c.pools {
 		p.changed = true
@@ -16,12 +16,12 @@
 			w.expire(now)
 		}
 	}
-	for _, es := range c.engines {
+	for _, es := range c.modelEngines {
 		for _, e := range es.all {
 			e.expire(now)
 		}
 	}
-	for _, j := range c.due(now) {
+	for _, j := range c.dueJobs(now) {
 		if j.engine == nil && j.stagesDone() {
 			c.grant(j, now)
 		}
@@ -30,22 +30,22 @@
 	c.dispatch(now)
 }
 
-// Idle tells whether no time has to pass: there are no jobs and no calls.
+// Idle reports whether no ticks are needed: there are no jobs and no calls.
 func (c *Core) Idle() bool { return len(c.jobs) == 0 && len(c.calls) == 0 }
 
-// tickets lists the jobs in a fixed order, so that a run can be repeated.
-func (c *Core) tickets() []*job { return c.sorted(func(*job) bool { return true }) }
+// jobsByTicket returns all jobs sorted by ticket, so that runs are reproducible.
+func (c *Core) jobsByTicket() []*job { return c.filterJobs(func(*job) bool { return true }) }
 
-// due lists the jobs that have to be granted or given up.
-func (c *Core) due(now time.Time) []*job {
-	return c.sorted(func(j *job) bool {
-		_, hopeless := j.hopeless(now)
+// dueJobs returns the jobs to be granted or given up.
+func (c *Core) dueJobs(now time.Time) []*job {
+	return c.filterJobs(func(j *job) bool {
+		_, hopeless := j.shouldGiveUp(now)
 		return hopeless || j.engine == nil && j.stagesDone()
 	})
 }
 
-// sorted lists the jobs that are wanted by ticket.
-func (c *Core) sorted(want func(*job) bool) []*job {
+// filterJobs returns the jobs that want accepts, sorted by ticket.
+func (c *Core) filterJobs(want func(*job) bool) []*job {
 	var jobs []*job
 	for _, j := range c.jobs {
 		if want(j) {
@@ -56,42 +56,44 @@
 	return jobs
 }
 
-// giveUp ends a job that has no hope left. To hold it until its deadline would
-// serve nobody: its client could come back meanwhile.
+// giveUp ends a job that can no longer be served. Holding it until its deadline
+// would help nobody: its client can retry meanwhile.
 func (c *Core) giveUp(j *job, now time.Time) {
-	reason, hopeless := j.hopeless(now)
+	reason, hopeless := j.shouldGiveUp(now)
 	switch {
 	case !hopeless:
 	case j.engine != nil:
-		c.end(j, now)
+		c.finish(j, now)
 	default:
-		c.noteShortage(j)
+		c.recordWaitShortage(j)
 		c.refuse(j, reason, now)
 	}
 }
 
-// noteShortage says what a job has waited for in vain, if nothing was said before.
-func (c *Core) noteShortage(j *job) {
-	if j.stagesDone() && j.queue == "" {
-		j.queue, j.short = j.Service, ResourceEngine
+// recordWaitShortage records what the job has been waiting for, unless a shortage
+// is recorded already.
+func (c *Core) recordWaitShortage(j *job) {
+	if j.stagesDone() && j.shortService == "" {
+		j.shortService, j.shortResource = j.Service, ResourceEngine
 	}
 	for _, s := range j.stages {
 		if !s.queued {
 			continue
 		}
 		p := c.pools[s.Service]
-		_, short := p.clear(p.demand.inTime.Sum())
-		j.lacks(p, short)
+		_, short := p.backlogTime(p.demand.onTime.Sum())
+		j.recordShortage(p, short)
 	}
 }
 
-// hopeless tells whether a job has waited in vain, and why it is refused. The
-// entry of a granted one is gone and will not tell of its end.
-func (j *job) hopeless(now time.Time) (Reason, bool) {
+// shouldGiveUp reports whether a job has waited too long, and the reason for
+// refusing it. A granted job is due when its end is overdue: the process that held
+// it is gone and will not report it.
+func (j *job) shouldGiveUp(now time.Time) (Reason, bool) {
 	if j.engine != nil {
-		return "", now.After(j.deadlineAt.Add(runMargin))
+		return "", now.After(j.deadlineAt.Add(requestExpiryMargin))
 	}
-	limit := j.deadlineAt.Add(-time.Duration((1 - deadlineShare) * float64(j.Deadline)))
+	limit := j.deadlineAt.Add(-time.Duration((1 - stageDeadlineShare) * float64(j.Deadline)))
 	if now.After(limit) {
 		return ReasonDeadline, true
 	}
@@ -99,56 +101,56 @@
 		return "", false
 	}
 	if j.late {
-		return ReasonOverload, now.Sub(j.submitted) > time.Duration(lateGiveUp*float64(j.Deadline))
+		return ReasonOverload, now.Sub(j.submitted) > time.Duration(lateGiveUpShare*float64(j.Deadline))
 	}
 	for _, s := range j.stages {
-		if s.queued && now.Sub(s.startBy) > lateWait && now.Sub(s.since) > lateWait {
+		if s.queued && now.Sub(s.startBy) > lateStartGrace && now.Sub(s.readyAt) > lateStartGrace {
 			return ReasonOverload, true
 		}
 	}
 	return "", false
 }
 
-// Holds tells whether a call is under way, or results are kept that only this
-// process can give up.
+// Holds reports whether a call or a Free is in flight, or results are kept that
+// only this process can free.
 func (c *Core) Holds() bool {
-	if len(c.calls) > 0 || len(c.frees) > 0 {
+	if len(c.calls) > 0 || len(c.pendingFrees) > 0 {
 		return true
 	}
 	for _, j := range c.jobs {
-		if j.holds() {
+		if j.keepsResults() {
 			return true
 		}
 	}
 	return false
 }
 
-// HandOver gives the jobs without any piece made to the next owner. Two queues
-// for the same endpoints fill each other's calls badly; jobs that have begun
+// HandOver moves the jobs of which nothing has started to the next owner: two
+// queues over the same endpoints would fill each other's calls badly. Started jobs
 // end here, since only this process knows their results.
 func (c *Core) HandOver(now time.Time) {
 	c.handedOver = true
-	for _, j := range c.tickets() {
+	for _, j := range c.jobsByTicket() {
 		if j.engine == nil && !j.started {
 			c.move(j, now)
 		}
 	}
 }
 
-// move gives a job back to its entry.
+// move returns a job to the process that submitted it.
 func (c *Core) move(j *job, now time.Time) {
 	c.emit(Move{Ticket: j.Ticket})
-	c.end(j, now)
+	c.finish(j, now)
 }
 
-// Placed notes what engines have read by the word of the entries, for an owner
-// that takes over.
+// Placed records which prompts engines have read, as reported by the processes
+// that sent them, for an owner that takes over.
 func (c *Core) Placed(placements []Placement) {
 	for _, p := range placements {
-		es := c.engines[p.Service]
+		es := c.modelEngines[p.Service]
 		if es == nil || es.byKey[p.Endpoint] == nil {
 			continue
 		}
-		es.keep(es.byKey[p.Endpoint], p.Prefix)
+		es.recordPrompt(es.byKey[p.Endpoint], p.Prefix)
 	}
 }
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -7,9 +7,10 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// SetView takes a new configuration or list of endpoints. Endpoints that are
-// gone lose their calls' pieces to others; the jobs go on. One that has started
-// again under its ID counts as gone, and another one as added.
+// SetView applies a new configuration or list of endpoints. Endpoints that are no
+// longer listed get no more calls or requests. An endpoint that restarted under
+// its ID counts as removed and added again; the calls of the old process end as
+// lost, and results that jobs still need are produced again.
 func (c *Core) SetView(now time.Time, view *catalog.View) {
 	if view.Index == nil {
 		return
@@ -23,8 +24,8 @@
 			c.setEngines(s, view)
 		}
 	}
-	for _, w := range c.replaced(view) {
-		c.lose(w, now)
+	for _, w := range c.replacedWorkers(view) {
+		c.discardWorker(w, now)
 	}
 	c.refuseEvacuated(now)
 	c.dispatch(now)
@@ -51,27 +52,27 @@
 		}
 		w.endpoint = e
 		w.spec = s.Batch
-		w.gone = false
+		w.removed = false
 		workers = append(workers, w)
 	}
 	for _, w := range p.workers {
 		if view.Endpoint(w.key) == nil {
-			w.gone = true
+			w.removed = true
 		}
 	}
 	p.workers = workers
 	p.countWorkers()
 	if first {
-		p.window.bound(c.share, p.places())
+		p.callWindow.setLimit(c.fleetShare, p.callSlots())
 	}
 }
 
 func (c *Core) setEngines(s *catalog.Service, view *catalog.View) {
-	known := c.engines[s.Name]
+	known := c.modelEngines[s.Name]
 	if known == nil {
-		known = &engines{times: newPromptTimes(), readers: make(map[string][]*engine)}
+		known = &modelEngines{times: newPromptTimes(), readers: make(map[string][]*engine)}
 	}
-	next := &engines{times: known.times, byKey: make(map[string]*engine), readers: known.readers}
+	next := &modelEngines{times: known.times, byKey: make(map[string]*engine), readers: known.readers}
 	for _, ep := range view.Endpoints(s.Name) {
 		e := known.byKey[ep.Key()]
 		if e == nil {
@@ -80,18 +81,18 @@
 		e.endpoint = ep
 		e.spec = s.Model
 		e.times = next.times
-		e.gone = false
+		e.removed = false
 		e.unreached = slices.Contains(c.unreached, ep.Domain)
 		next.byKey[e.key] = e
 		next.all = append(next.all, e)
 	}
 	left := false
 	for _, e := range known.all {
-		e.gone = next.byKey[e.key] == nil
-		left = left || e.gone
+		e.removed = next.byKey[e.key] == nil
+		left = left || e.removed
 	}
 	if left {
-		next.forgetGone()
+		next.dropRemovedReaders()
 	}
-	c.engines[s.Name] = next
+	c.modelEngines[s.Name] = next
 }
--- a/dispatch/window.go
+++ b/dispatch/window.go
@@ -8,83 +8,87 @@
 )
 
 const (
-	// crowdedShare is the part of the calls of one round that were refused beyond
-	// which the endpoints are taken to be shared with another owner of the queue.
-	crowdedShare = 0.2
-	// windowGrowth is what a window is multiplied by after a round, until the
-	// first that was crowded; from then on it grows by one call a round.
+	// contendedShare is the fraction of refused calls in a round above which the
+	// endpoints are considered shared with another queue owner.
+	contendedShare = 0.2
+	// windowGrowth is the factor by which a window grows after a round, until the
+	// first contended round; after that it grows by one call a round.
 	windowGrowth = 2
-	// windowPauseMax bounds the pause after calls refused in a row.
+	// windowPauseMax bounds the pause after consecutive refused calls.
 	windowPauseMax = time.Second
-	// unbounded is the window of an owner that hears the whole fleet.
+	// unbounded is the limit of an owner that is in contact with the whole fleet.
 	unbounded = math.MaxInt
 )
 
-// window bounds the calls that a pool has under way at a time. An owner of the
-// queue that hears the whole fleet needs none. One that does not begins with few
-// calls, and has more with each round in which few are refused; while the
-// endpoints refuse them, it takes no more than they granted in the last round.
+// callWindow bounds the calls that a pool has in flight. A queue owner that is in
+// contact with the whole fleet needs no bound. Any other starts with few calls and
+// gets more with each round in which few are refused; after a round with many
+// refusals the limit is the number of calls that were not refused.
 //
-// The failure that it guards against: a hundred processes start as one, each
-// calls all endpoints, is refused by most and asks again, and the connections and
-// refusals keep the endpoints and the processes from their work for seconds.
-type window struct {
+// It guards against this failure: a hundred processes start at once and each
+// considers itself the owner, calls all endpoints, is refused by most and retries;
+// the connections and refusals keep endpoints and processes from their work for
+// seconds.
+type callWindow struct {
 	limit    int
-	underway int
-	// began is when the present round began, ended and refused count its calls.
-	began          time.Time
-	ended, refused int
-	crowded        bool
-	// pause is under way after a refused call.
+	inFlight int
+	// roundStart is when the current round began; roundEnded and roundRefused count
+	// its calls.
+	roundStart               time.Time
+	roundEnded, roundRefused int
+	contended                bool
+	// pause is active after a refused call.
 	pause health.Pause
 }
 
-// full tells whether no further call may start now.
-func (w *window) full(now time.Time) bool { return w.underway >= w.limit || w.pause.Active(now) }
+// full reports whether no further call may start now.
+func (w *callWindow) full(now time.Time) bool { return w.inFlight >= w.limit || w.pause.Active(now) }
 
-// bound sets the limit to a share of the places.
-func (w *window) bound(share float64, places int) {
+// setLimit sets the limit to a share of the call slots; there is no limit if share
+// is 1.
+func (w *callWindow) setLimit(share float64, places int) {
 	w.limit = unbounded
 	if share < 1 {
 		w.limit = max(1, int(math.Ceil(share*float64(places))))
 	}
 }
 
-// widen raises the limit to a share of the places, if it is lower.
-func (w *window) widen(share float64, places int) {
+// raiseLimit raises the limit to a share of the call slots, unless it is higher
+// already.
+func (w *callWindow) raiseLimit(share float64, places int) {
 	limit := w.limit
-	w.crowded = false
-	w.bound(share, places)
+	w.contended = false
+	w.setLimit(share, places)
 	w.limit = max(limit, w.limit)
 }
 
-// end takes in the end of a call; round is the usual time of one, places is how
-// many calls the endpoints take at a time.
-func (w *window) end(refused bool, round time.Duration, places int, now time.Time) {
-	w.underway--
+// callEnded accounts for the end of a call. round is the average call time, places
+// the number of calls that the endpoints take at a time.
+func (w *callWindow) callEnded(refused bool, round time.Duration, places int, now time.Time) {
+	w.inFlight--
 	if w.limit == unbounded {
 		return
 	}
-	w.ended++
+	w.roundEnded++
 	if refused {
-		w.refused++
-		w.pause.Fail(pauseRefused, windowPauseMax, now)
+		w.roundRefused++
+		w.pause.Fail(refusalPause, windowPauseMax, now)
 	} else {
 		w.pause.Clear()
 	}
-	if now.Sub(w.began) < round {
+	if now.Sub(w.roundStart) < round {
 		return
 	}
 	switch {
-	case float64(w.refused) > crowdedShare*float64(w.ended):
-		w.limit = max(1, w.ended-w.refused)
-		w.crowded = true
+	case float64(w.roundRefused) > contendedShare*float64(w.roundEnded):
+		w.limit = max(1, w.roundEnded-w.roundRefused)
+		w.contended = true
 	case w.limit >= places:
 		w.limit = unbounded
-	case w.crowded:
+	case w.contended:
 		w.limit++
 	default:
 		w.limit *= windowGrowth
 	}
-	w.began, w.ended, w.refused = now, 0, 0
+	w.roundStart, w.roundEnded, w.roundRefused = now, 0, 0
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -11,64 +11,69 @@
 )
 
 const (
-	// speedWeight is the share of the newest call in a worker's speed. Three
-	// calls move it by half, so that a slow endpoint shows within a second.
+	// speedWeight is the weight of the newest call in a worker's speed. Three calls
+	// move it by half, so that a slow endpoint shows within a second.
 	speedWeight = 0.25
-	// speedMax bounds the factor, so that one stalled call is forgotten in a few good ones.
+	// speedMax bounds the speed factor of one call, so that a few good calls outweigh
+	// one that stalled.
 	speedMax = 8
-	// pauseFirst and pauseMax bound the time without calls after a failure;
-	// it doubles with each one in a row.
-	pauseFirst = 100 * time.Millisecond
-	pauseMax   = 2 * time.Second
-	// pauseRefused is shorter: the endpoint is alive and busy with somebody
-	// else's call, which takes about this long.
-	pauseRefused = 60 * time.Millisecond
-	// refusedDoublings is how often it doubles with refusals in a row.
-	refusedDoublings = 3
-	// ttlMargin is added to the time after which an endpoint drops a result by
-	// itself, so that room is not counted as free before it is.
+	// pauseMin and pauseMax bound the pause after a failed call; it doubles with each
+	// consecutive failure.
+	pauseMin = 100 * time.Millisecond
+	pauseMax = 2 * time.Second
+	// refusalPause is shorter than pauseMin: the endpoint is alive and busy with
+	// another owner's call, which takes about this long.
+	refusalPause = 60 * time.Millisecond
+	// maxRefusalDoublings is how often the pause doubles with consecutive refusals.
+	maxRefusalDoublings = 3
+	// ttlMargin is added to the time after which an endpoint drops a result by itself,
+	// so that its memory is not counted as free too early.
 	ttlMargin = 200 * time.Millisecond
 )
 
-// worker is the state of one endpoint of a stage's service.
+// worker is the state of one endpoint of a stage service.
 type worker struct {
 	endpoint *catalog.Endpoint
 	// key is the endpoint's Key.
 	key string
-	// hash is that of the key.
+	// hash is the hash of the key.
 	hash  uint64
 	spec  *catalog.Batch
 	calls map[uint64]*call
-	// used is the memory of results that are kept, made or expected, in bytes.
-	used    int64
-	results map[*result]struct{}
-	// firstExpiry is not after the earliest end of a booking.
-	firstExpiry time.Time
-	// speed is the measured time of a call over the expected one.
+	// usedMemory is the memory of results that are kept, in production or reserved for
+	// lost calls, in bytes.
+	usedMemory int64
+	results    map[*result]struct{}
+	// earliestExpiry is a lower bound of the expiry times of the results.
+	earliestExpiry time.Time
+	// speed is the moving average of measured over expected call time; 1 is nominal,
+	// larger is slower.
 	speed float64
-	// suspect is set from a call that did not come back in time until one does.
+	// suspect is true from a lost call, or the loss of contact with the failure
+	// domain, until a call returns in time.
 	suspect bool
-	// pause is under way after failed and refused calls.
+	// pause is active after failed and refused calls.
 	pause health.Pause
-	// refusals counts the calls refused since one succeeded.
-	refusals int
-	// pace is what was sent to the endpoint while it is cold.
-	pace warm.Pace
-	gone bool
+	// consecutiveRefusals counts the calls refused since the last one that was
+	// answered.
+	consecutiveRefusals int
+	// pace limits the calls to the endpoint while it is cold.
+	pace    warm.Pace
+	removed bool
 }
 
-// call is one call in flight.
+// call is a call in flight.
 type call struct {
-	id      uint64
-	worker  *worker
-	pieces  []placed
-	bytes   int64
-	sentAt  time.Time
-	expects time.Duration
+	id           uint64
+	worker       *worker
+	pieces       []callPiece
+	bytes        int64
+	sentAt       time.Time
+	expectedTime time.Duration
 }
 
-// placed is a piece in a call.
-type placed struct {
+// callPiece is a piece in a call.
+type callPiece struct {
 	stage *stage
 	index int
 }
@@ -85,61 +90,62 @@
 	}
 }
 
-// idle tells whether the worker takes a call at now.
+// idle reports whether the worker can take a call at now.
 func (w *worker) idle(now time.Time) bool {
 	return w.usable() && len(w.calls) < w.spec.Slots && !w.pause.Active(now) &&
 		w.pace.Allows(now, w.endpoint, warm.OwnerShare, 0)
 }
 
-// usable tells whether the worker may get calls at all.
-func (w *worker) usable() bool { return !w.gone && w.endpoint.TakesWork() }
+// usable reports whether the worker may get calls at all.
+func (w *worker) usable() bool { return !w.removed && w.endpoint.TakesWork() }
 
-// room is the memory that is free for results, in bytes, if only a share of all
-// of it can be used.
-func (w *worker) room(share float64) int64 {
-	return int64(share*float64(w.spec.Room)) - w.used
+// freeMemory returns the free memory for results, in bytes, if only the given
+// share of the total may be used.
+func (w *worker) freeMemory(share float64) int64 {
+	return int64(share*float64(w.spec.Room)) - w.usedMemory
 }
 
-// expect is how long a call with n pieces should take at the nominal speed.
-func (w *worker) expect(n int) time.Duration {
+// expectedCallTime returns how long a call with n pieces takes at nominal speed.
+func (w *worker) expectedCallTime(n int) time.Duration {
 	return w.spec.CallTime + time.Duration(n)*w.spec.ItemTime
 }
 
-// refused keeps calls off for a while, longer with each refusal in a row: those
-// of other owners fill the endpoint.
-func (w *worker) refused(now time.Time) {
-	w.pause.Hold(pauseRefused<<min(w.refusals, refusedDoublings), now)
-	w.refusals++
+// callRefused pauses calls to the worker, for longer with each consecutive
+// refusal: calls of other owners fill the endpoint.
+func (w *worker) callRefused(now time.Time) {
+	w.pause.Hold(refusalPause<<min(w.consecutiveRefusals, maxRefusalDoublings), now)
+	w.consecutiveRefusals++
 }
 
-// answered notes that the endpoint has answered a call.
-func (w *worker) answered() {
+// callAnswered notes that the endpoint has answered a call.
+func (w *worker) callAnswered() {
 	w.pause.Clear()
-	w.refusals = 0
+	w.consecutiveRefusals = 0
 }
 
-// learn takes the time of a call in which the endpoint worked on some pieces. One
-// that had room for none, or to which all came too late, is back at once and says
-// nothing of the endpoint's speed. A call that came back in time clears a suspect.
+// learn updates the speed from a call of which the endpoint worked on some pieces.
+// A call whose pieces all lacked memory or came too late returns at once and says
+// nothing about speed. A call that returns in time ends the suspicion.
 func (w *worker) learn(took time.Duration, worked int) {
 	if worked == 0 {
 		return
 	}
-	factor := min(speedMax, float64(took)/float64(w.expect(worked)))
+	factor := min(speedMax, float64(took)/float64(w.expectedCallTime(worked)))
 	w.speed += speedWeight * (factor - w.speed)
 	w.suspect = w.suspect && factor > timeoutFactor
 }
 
-// overdue notes a call that was given up: it takes at least the time that has
-// passed, and until one comes back in time the endpoint gets a piece at a time.
-func (w *worker) overdue(cl *call, now time.Time) {
-	w.pause.Fail(pauseFirst, pauseMax, now)
-	least := min(speedMax, float64(now.Sub(cl.sentAt))/float64(cl.expects))
+// callLost notes a call without a usable answer. It would have taken at least the
+// time that has passed. Until a call returns in time the endpoint gets one piece a
+// call.
+func (w *worker) callLost(cl *call, now time.Time) {
+	w.pause.Fail(pauseMin, pauseMax, now)
+	least := min(speedMax, float64(now.Sub(cl.sentAt))/float64(cl.expectedTime))
 	w.speed = max(w.speed, least)
 	w.suspect = true
 }
 
-// places is how many pieces the worker gets in a call.
+// places returns how many pieces the worker may get in one call.
 func (w *worker) places() int {
 	if w.suspect {
 		return 1
@@ -147,48 +153,48 @@
 	return w.spec.Items
 }
 
-// keep books a result until it is released or the endpoint drops it by itself.
-// The memory was reserved with the call.
-func (w *worker) keep(r *result, now time.Time) {
+// addResult records a result until it is released or expires. The caller has
+// counted its memory in usedMemory.
+func (w *worker) addResult(r *result, now time.Time) {
 	r.worker = w
-	r.until = now.Add(w.spec.ResultTTL + ttlMargin)
-	if len(w.results) == 0 || r.until.Before(w.firstExpiry) {
-		w.firstExpiry = r.until
+	r.expiresAt = now.Add(w.spec.ResultTTL + ttlMargin)
+	if len(w.results) == 0 || r.expiresAt.Before(w.earliestExpiry) {
+		w.earliestExpiry = r.expiresAt
 	}
 	w.results[r] = struct{}{}
 }
 
-// keeps tells whether a result is booked.
-func (w *worker) keeps(r *result) bool {
+// hasResult reports whether a result is recorded.
+func (w *worker) hasResult(r *result) bool {
 	_, ok := w.results[r]
 	return ok
 }
 
-// release ends a result's booking, if it is still booked.
+// release removes a result, if it is still recorded, and its memory.
 func (w *worker) release(r *result) {
-	if !w.keeps(r) {
+	if !w.hasResult(r) {
 		return
 	}
 	delete(w.results, r)
-	w.used -= r.bytes
+	w.usedMemory -= r.bytes
 }
 
-// expire ends the bookings of results that the endpoint has dropped by itself.
-// Without it, results of lost calls would fill the books for good and the
-// worker would stand idle while work waits. It looks at the bookings only once
-// the first of them can have run out.
+// expire releases the results that the endpoint has dropped by itself. Without it,
+// results of lost calls would occupy memory forever, and the worker would stay
+// idle while work waits. It scans the results only once the earliest of them can
+// have expired.
 func (w *worker) expire(now time.Time) {
-	if now.Before(w.firstExpiry) {
+	if now.Before(w.earliestExpiry) {
 		return
 	}
 	first := true
 	for r := range w.results {
-		if !now.Before(r.until) {
+		if !now.Before(r.expiresAt) {
 			w.release(r)
 			continue
 		}
-		if first || r.until.Before(w.firstExpiry) {
-			w.firstExpiry = r.until
+		if first || r.expiresAt.Before(w.earliestExpiry) {
+			w.earliestExpiry = r.expiresAt
 		}
 		first = false
 	}
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// firstEventAfter is how long engines take to their first event.
+// firstEventAfter is the time from a grant to the engine's first event.
 const firstEventAfter = 150 * time.Millisecond
 
 const (
@@ -32,7 +32,8 @@
 	Room: 4_200_000, ResultTTL: 4 * time.Second,
 }
 
-// testView has endpoints of each service in each domain.
+// testView returns a view with the given number of endpoints of each service in
+// each failure domain.
 func testView(domains []string, each int) *catalog.View {
 	heavy, light := heavySpec, lightSpec
 	c := &catalog.Config{Version: 1, Services: []catalog.Service{
@@ -52,7 +53,7 @@
 	return catalog.NewView(catalog.NewIndex(c), endpoints, 1)
 }
 
-// testJob has a heavy stage and two more that follow each other.
+// testJob returns a job with a heavy stage and a chain of a heavy and a light one.
 func testJob(ticket string) Job {
 	return Job{
 		Ticket: ticket, Request: ticket, Service: serviceModel, Route: "r", PieceKey: "key-" + ticket,
@@ -66,31 +67,31 @@
 	}
 }
 
-// world plays the endpoints of a Core in simulated time.
-type world struct {
+// simulation runs a Core against simulated endpoints in simulated time.
+type simulation struct {
 	core  *Core
 	now   time.Time
-	calls []flying
-	// ends, grants and freed are what the core has said.
-	grants map[string]Grant
-	ends   map[string]string
-	freed  map[string]int
-	made   map[string]madePiece
-	next   int
-	// fate decides how a call ends; nil lets all succeed.
-	fate func(StartCall) (CallFault, Fault)
-	// answers holds the tickets whose engine has yet to begin to answer.
-	answers map[string]time.Time
-	// slow stretches the calls of an endpoint.
+	calls []inFlightCall
+	// grants, ends and freed record the effects of the Core.
+	grants   map[string]Grant
+	ends     map[string]string
+	freed    map[string]int
+	produced map[string]producedPiece
+	lastID   int
+	// decide decides how a call ends; if nil, all succeed.
+	decide func(StartCall) (CallFault, Fault)
+	// firstEvents holds the times of the first events that are due, by ticket.
+	firstEvents map[string]time.Time
+	// slow holds the factors by which the calls of endpoints are slower.
 	slow map[string]float64
-	// freesFail, if set, tells whether the answer to a Free is lost.
+	// freesFail, if set, reports whether the answer to a Free is lost.
 	freesFail func() bool
 	// afterTick, if set, is called after each tick.
 	afterTick func()
 }
 
-// anyFate lets calls fail in each way now and then.
-func anyFate(t *rapid.T) func(StartCall) (CallFault, Fault) {
+// randomFaults lets some calls fail, in different ways.
+func randomFaults(t *rapid.T) func(StartCall) (CallFault, Fault) {
 	return func(StartCall) (CallFault, Fault) {
 		switch rapid.IntRange(0, 11).Draw(t, "fate") {
 		case 0:
@@ -106,43 +107,43 @@
 	}
 }
 
-type flying struct {
+type inFlightCall struct {
 	call StartCall
 	at   time.Time
 }
 
-// madePiece is what a handle stands for.
-type madePiece struct {
+// producedPiece is the piece whose result a handle names.
+type producedPiece struct {
 	request      string
 	stage, index int
 }
 
-func newWorld(view *catalog.View) *world {
-	w := &world{
+func newSimulation(view *catalog.View) *simulation {
+	w := &simulation{
 		core: New("test"), now: epoch,
 		grants: make(map[string]Grant), ends: make(map[string]string), freed: make(map[string]int),
-		made: make(map[string]madePiece), slow: make(map[string]float64),
-		answers: make(map[string]time.Time),
+		produced: make(map[string]producedPiece), slow: make(map[string]float64),
+		firstEvents: make(map[string]time.Time),
 	}
 	w.core.SetView(w.now, view)
 	return w
 }
 
-func (w *world) submit(j Job) {
+func (w *simulation) submit(j Job) {
 	if err := w.core.Submit(w.now, j); err != nil {
 		panic(err)
 	}
 	w.drain()
 }
 
-// drain takes the effects, and those that follow at once.
-func (w *world) drain() {
+// drain carries out the effects, including those that they cause.
+func (w *simulation) drain() {
 	for effects := w.core.Effects(); len(effects) > 0; effects = w.core.Effects() {
-		w.take(effects)
+		w.apply(effects)
 	}
 }
 
-func (w *world) take(effects []Effect) {
+func (w *simulation) apply(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case StartCall:
@@ -152,10 +153,10 @@
 			}
 			took := spec.CallTime + time.Duration(len(e.Pieces))*spec.ItemTime
 			took = time.Duration(float64(took) * max(1, w.slow[e.Endpoint]))
-			w.calls = append(w.calls, flying{call: e, at: w.now.Add(min(took, e.Timeout))})
+			w.calls = append(w.calls, inFlightCall{call: e, at: w.now.Add(min(took, e.Timeout))})
 		case Grant:
 			w.grants[e.Ticket] = e
-			w.answers[e.Ticket] = w.now.Add(firstEventAfter)
+			w.firstEvents[e.Ticket] = w.now.Add(firstEventAfter)
 		case Refuse:
 			w.ends[e.Ticket] = string(e.Reason)
 		case Move:
@@ -169,13 +170,13 @@
 	}
 }
 
-// run lets time pass.
-func (w *world) run(d time.Duration) {
+// run advances the time in steps of 10 ms.
+func (w *simulation) run(d time.Duration) {
 	end := w.now.Add(d)
 	for w.now.Before(end) {
 		w.now = w.now.Add(10 * time.Millisecond)
-		w.land()
-		w.answer()
+		w.endDue()
+		w.sendFirstEvents()
 		w.core.Tick(w.now)
 		w.drain()
 		if w.afterTick != nil {
@@ -184,21 +185,21 @@
 	}
 }
 
-// answer lets the engines begin to answer.
-func (w *world) answer() {
-	for _, ticket := range slices.Sorted(maps.Keys(w.answers)) {
-		if !w.answers[ticket].After(w.now) {
-			delete(w.answers, ticket)
+// sendFirstEvents reports the first events that are due.
+func (w *simulation) sendFirstEvents() {
+	for _, ticket := range slices.Sorted(maps.Keys(w.firstEvents)) {
+		if !w.firstEvents[ticket].After(w.now) {
+			delete(w.firstEvents, ticket)
 			w.core.FirstEvent(w.now, ticket)
 			w.drain()
 		}
 	}
 }
 
-// land ends the calls that are due.
-func (w *world) land() {
-	var still []flying
-	var due []flying
+// endDue ends the calls that are due.
+func (w *simulation) endDue() {
+	var still []inFlightCall
+	var due []inFlightCall
 	for _, f := range w.calls {
 		if f.at.After(w.now) {
 			still = append(still, f)
@@ -208,15 +209,15 @@
 	}
 	w.calls = still
 	for _, f := range due {
-		w.end(f.call)
+		w.endCall(f.call)
 		w.drain()
 	}
 }
 
-func (w *world) end(call StartCall) {
+func (w *simulation) endCall(call StartCall) {
 	fault, pieceFault := CallOK, FaultNone
-	if w.fate != nil {
-		fault, pieceFault = w.fate(call)
+	if w.decide != nil {
+		fault, pieceFault = w.decide(call)
 	}
 	var outcomes []Outcome
 	for i, p := range call.Pieces {
@@ -224,9 +225,9 @@
 			outcomes = append(outcomes, Outcome{Fault: pieceFault})
 			continue
 		}
-		w.next++
-		handle := fmt.Sprintf("%s/%d", call.Addr, w.next)
-		w.made[handle] = madePiece{request: p.Request, stage: p.Stage, index: p.Index}
+		w.lastID++
+		handle := fmt.Sprintf("%s/%d", call.Addr, w.lastID)
+		w.produced[handle] = producedPiece{request: p.Request, stage: p.Stage, index: p.Index}
 		outcomes = append(outcomes, Outcome{Handle: handle})
 	}
 	w.core.CallEnded(w.now, call.Call, fault, outcomes)
