--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// fillShare is the fraction of a pool's piece places that calls use in practice.
+	// fillShare is the fraction of the places for pieces that a pool's calls use in
+	// practice.
 	fillShare = 0.9
 	// lateFactor and lateFactorAgain, times the route's objective, bound the time to
 	// work off the backlog of equally or more urgent work if a late job is to be
@@ -40,9 +41,9 @@
 	sizeWeight = 0.05
 )
 
-// backlogTime returns the time that the pool needs for a backlog, and its scarcer
-// resource: places in calls, or the memory that results occupy until they are
-// read.
+// backlogTime returns the time that the pool needs for a backlog, and the resource
+// that limits it: places in calls, or the memory that results occupy until they
+// are read. Without usable endpoints the time is an hour.
 func (p *pool) backlogTime(b sumtree.Amount) (time.Duration, Resource) {
 	workers := p.allowedWorkers()
 	if workers == 0 {
@@ -116,6 +117,7 @@
 	return nil
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -130,9 +132,9 @@
 	if s.forecastStart.IsZero() || s.job.late {
 		return
 	}
-	bias := p.forecastErrorAt(now)
-	off := now.Sub(s.forecastStart)
-	p.forecastError = max(0, bias+time.Duration(forecastErrorWeight*float64(off-bias)))
+	previous := p.forecastErrorAt(now)
+	observed := now.Sub(s.forecastStart)
+	p.forecastError = max(0, previous+time.Duration(forecastErrorWeight*float64(observed-previous)))
 	p.forecastErrorAsOf = now
 }
 
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -80,8 +80,8 @@
 
 // countEnded updates the jobs' counts of pieces in flight when a call ends.
 func (cl *call) countEnded(mayHaveRun bool) {
-	for _, placed := range cl.pieces {
-		j := placed.stage.job
+	for _, piece := range cl.pieces {
+		j := piece.stage.job
 		j.inFlight--
 		j.mayHaveRun = j.mayHaveRun || mayHaveRun
 	}
@@ -92,8 +92,8 @@
 // is moved if another process owns the queue now.
 func (c *Core) requeueNotRun(cl *call, now time.Time) {
 	c.requeueCall(cl, now, false)
-	for _, placed := range cl.pieces {
-		j := placed.stage.job
+	for _, piece := range cl.pieces {
+		j := piece.stage.job
 		if j.ended || !j.started || j.inFlight > 0 || j.mayHaveRun {
 			continue
 		}
@@ -128,18 +128,18 @@
 		p.learnMemoryShare(countNoMemory(outcomes))
 	}
 	var touched []*job
-	for i, placed := range cl.pieces {
-		s := placed.stage
+	for i, piece := range cl.pieces {
+		s := piece.stage
 		if outcomes[i].Fault == FaultInputs && cl.sentAt.Before(s.job.lostAt) {
 			// Its inputs were lost after the call was sent and are being produced again.
-			c.requeuePieces(s, []int{placed.index})
+			c.requeuePieces(s, []int{piece.index})
 			continue
 		}
 		if outcomes[i].Fault != FaultNone {
-			c.pieceFailed(w, placed, outcomes[i].Fault, now)
+			c.pieceFailed(w, piece, outcomes[i].Fault, now)
 			continue
 		}
-		c.pieceDone(w, placed, outcomes[i].Handle, cl.sentAt, now)
+		c.pieceDone(w, piece, outcomes[i].Handle, cl.sentAt, now)
 		if n := len(touched); n == 0 || touched[n-1] != s.job {
 			touched = append(touched, s.job)
 		}
@@ -165,6 +165,7 @@
 	return n
 }
 
+// countNoMemory counts the pieces for whose results the endpoint had no memory.
 func countNoMemory(outcomes []Outcome) int {
 	n := 0
 	for _, o := range outcomes {
--- a/dispatch/cold_test.go
+++ b/dispatch/cold_test.go
@@ -32,46 +32,47 @@
 
 // countGrants submits jobs without stages, one each step, and counts the grants to
 // engines of a failure domain in each second.
-func countGrants(w *simulation, domain string, jobs int, step time.Duration) map[int]int {
+func countGrants(sim *simulation, domain string, jobs int, step time.Duration) map[int]int {
 	seconds := make(map[int]int)
 	for i := range jobs {
 		j := testJob(fmt.Sprint(i))
 		j.Stages = nil
-		at := int(w.now.Sub(epoch) / time.Second)
-		w.submit(j)
-		if g, ok := w.grants[j.Ticket]; ok && strings.Contains(g.Endpoint, domain) {
+		at := int(sim.now.Sub(epoch) / time.Second)
+		sim.submit(j)
+		if g, ok := sim.grants[j.Ticket]; ok && strings.Contains(g.Endpoint, domain) {
 			seconds[at]++
 		}
-		w.run(step)
+		sim.run(step)
 	}
 	return seconds
 }
 
-// A failure domain returned cold and idle. All requests went to its engines, since
-// they had no load, and they crashed. Cold engines must only get the requests that
-// they accept, the others the rest, and all engines their full share once they are
+// TestColdEnginesAreRateLimited guards against crashes of cold engines. A failure
+// domain returned cold and idle, all requests went to its engines because they had
+// no load, and they crashed. Cold engines must only get the requests that they
+// accept, the others the rest, and all engines their full share once they are
 // warm.
 func TestColdEnginesAreRateLimited(t *testing.T) {
-	w := newSimulation(coldView(testView([]string{"north", "south"}, 1), "north", epoch.Add(3*time.Second)))
-	seconds := countGrants(w, "north", 1000, 5*time.Millisecond)
+	sim := newSimulation(coldView(testView([]string{"north", "south"}, 1), "north", epoch.Add(3*time.Second)))
+	seconds := countGrants(sim, "north", 1000, 5*time.Millisecond)
 	for at := range 3 {
 		n := seconds[at]
 		assert.Assert(t, n <= int(coldRate*warm.OwnerShare), "%d requests in second %d", n, at)
-		assert.Assert(t, n > 0, "none in second %d: it would never get warm", at)
+		assert.Assert(t, n > 0, "no request in second %d: the engine would never get warm", at)
 	}
-	assert.Assert(t, seconds[4] > 2*coldRate, "only %d once it is warm", seconds[4])
+	assert.Assert(t, seconds[4] > 2*coldRate, "only %d requests once it is warm", seconds[4])
 }
 
-// If all engines are cold, requests beyond their limit wait and are then served in
-// time.
+// TestRequestsWaitWhileAllEnginesAreCold checks that requests beyond the limit of
+// the cold engines wait and are then served in time.
 func TestRequestsWaitWhileAllEnginesAreCold(t *testing.T) {
-	w := newSimulation(coldView(testView([]string{"north"}, 1), "north", epoch.Add(time.Second)))
+	sim := newSimulation(coldView(testView([]string{"north"}, 1), "north", epoch.Add(time.Second)))
 	jobs := int(coldRate)
-	seconds := countGrants(w, "north", jobs, time.Millisecond)
+	seconds := countGrants(sim, "north", jobs, time.Millisecond)
 	assert.Equal(t, seconds[0], int(coldRate*warm.OwnerShare))
-	w.run(1200 * time.Millisecond)
+	sim.run(1200 * time.Millisecond)
 	for i := range jobs {
 		name := fmt.Sprint(i)
-		assert.Assert(t, w.grants[name].Ticket == name, "%s ended %q", name, w.ends[name])
+		assert.Assert(t, sim.grants[name].Ticket == name, "%s ended %q", name, sim.ends[name])
 	}
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -197,10 +197,10 @@
 	}
 }
 
-// awaitsEngine reports whether a job is kept although its service has no usable
-// engine. Engines that were lost usually return within seconds, and the stages of
-// a started job would have to run again; giveUp bounds the wait. Engines that are
-// draining do not return.
+// awaitsEngine reports whether a job is kept although no engine of its service is
+// listed. Engines that were lost usually return within seconds, and the stages of
+// a started job would have to run again; giveUp bounds the wait. Engines that
+// leave are still listed, and do not return.
 func (c *Core) awaitsEngine(j *job) bool {
 	es := c.modelEngines[j.Service]
 	return j.started && es != nil && len(es.all) == 0
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -32,6 +32,7 @@
 	return sum
 }
 
+// adjustLate replaces a stage's amount in the demand of late jobs.
 func (d *demand) adjustLate(priority int, from, to sumtree.Amount) {
 	sum := d.late[priority]
 	sum.Pieces += to.Pieces - from.Pieces
@@ -54,21 +55,21 @@
 // updateDemand updates the pool's demand from the stage's waiting pieces and the
 // state of its job. It does nothing before plan has set the pool.
 func (s *stage) updateDemand() {
-	b := &s.demandEntry
-	if b.pool == nil {
+	e := &s.demandEntry
+	if e.pool == nil {
 		return
 	}
 	var amount sumtree.Amount
 	if !s.job.ended {
 		amount = sumtree.Amount{Pieces: len(s.waiting), Bytes: int64(len(s.waiting)) * s.ResultBytes}
 	}
-	if amount == b.amount && s.job.late == b.late {
+	if amount == e.amount && s.job.late == e.late {
 		return
 	}
-	d := &b.pool.demand
-	key := sumtree.Key{At: s.startBy, ID: b.id}
-	if b.late {
-		d.adjustLate(s.job.Priority, b.amount, sumtree.Amount{})
+	d := &e.pool.demand
+	key := sumtree.Key{At: s.startBy, ID: e.id}
+	if e.late {
+		d.adjustLate(s.job.Priority, e.amount, sumtree.Amount{})
 	} else if s.job.late {
 		d.onTime.Set(key, sumtree.Amount{})
 	}
@@ -77,7 +78,7 @@
 	} else {
 		d.onTime.Set(key, amount)
 	}
-	b.amount, b.late = amount, s.job.late
+	e.amount, e.late = amount, s.job.late
 }
 
 // updateDemand updates the demand of all stages of the job.
@@ -107,33 +108,34 @@
 const compactMin = 64
 
 // add adds an on-time job.
-func (y *displaceableJobs) add(j *job, p *pool) {
-	if len(y.jobs) >= max(compactMin, y.compactAt) {
-		y.compact()
+func (h *displaceableJobs) add(j *job, p *pool) {
+	if len(h.jobs) >= max(compactMin, h.compactAt) {
+		h.compact()
 	}
-	heap.Push(y, displaceableJob{job: j, density: j.density(p)})
+	heap.Push(h, displaceableJob{job: j, density: j.density(p)})
 }
 
-func (y *displaceableJobs) compact() {
-	kept := y.jobs[:0]
-	for _, o := range y.jobs {
+// compact removes the jobs that are no longer displaceable.
+func (h *displaceableJobs) compact() {
+	kept := h.jobs[:0]
+	for _, o := range h.jobs {
 		if o.job.displaceable() {
 			kept = append(kept, o)
 		}
 	}
-	clear(y.jobs[len(kept):])
-	y.jobs = kept
-	y.compactAt = 2 * len(kept)
-	heap.Init(y)
+	clear(h.jobs[len(kept):])
+	h.jobs = kept
+	h.compactAt = 2 * len(kept)
+	heap.Init(h)
 }
 
 // lowest returns the lowest-ranked displaceable job, or nil.
-func (y *displaceableJobs) lowest() *job {
-	for len(y.jobs) > 0 {
-		if j := y.jobs[0].job; j.displaceable() {
+func (h *displaceableJobs) lowest() *job {
+	for len(h.jobs) > 0 {
+		if j := h.jobs[0].job; j.displaceable() {
 			return j
 		}
-		heap.Pop(y)
+		heap.Pop(h)
 	}
 	return nil
 }
@@ -142,12 +144,12 @@
 func (j *job) displaceable() bool { return !j.late && !j.started && !j.ended && j.engine == nil }
 
 // Len implements heap.Interface.
-func (y *displaceableJobs) Len() int { return len(y.jobs) }
+func (h *displaceableJobs) Len() int { return len(h.jobs) }
 
 // Less implements heap.Interface: the least urgent job first, then the one with
 // the lowest density.
-func (y *displaceableJobs) Less(a, b int) bool {
-	x, z := y.jobs[a], y.jobs[b]
+func (h *displaceableJobs) Less(a, b int) bool {
+	x, z := h.jobs[a], h.jobs[b]
 	if x.job.Priority != z.job.Priority {
 		return x.job.Priority > z.job.Priority
 	}
@@ -158,16 +160,16 @@
 }
 
 // Swap implements heap.Interface.
-func (y *displaceableJobs) Swap(a, b int) { y.jobs[a], y.jobs[b] = y.jobs[b], y.jobs[a] }
+func (h *displaceableJobs) Swap(a, b int) { h.jobs[a], h.jobs[b] = h.jobs[b], h.jobs[a] }
 
 // Push implements heap.Interface.
-func (y *displaceableJobs) Push(x any) { y.jobs = append(y.jobs, x.(displaceableJob)) }
+func (h *displaceableJobs) Push(x any) { h.jobs = append(h.jobs, x.(displaceableJob)) }
 
 // Pop implements heap.Interface.
-func (y *displaceableJobs) Pop() any {
-	last := len(y.jobs) - 1
-	o := y.jobs[last]
-	y.jobs[last] = displaceableJob{}
-	y.jobs = y.jobs[:last]
+func (h *displaceableJobs) Pop() any {
+	last := len(h.jobs) - 1
+	o := h.jobs[last]
+	h.jobs[last] = displaceableJob{}
+	h.jobs = h.jobs[:last]
 	return o
 }
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -73,37 +73,37 @@
 // given up.
 func TestDemandMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(testView([]string{"north", "south"}, 1))
-		w.decide = randomFaults(t)
+		sim := newSimulation(testView([]string{"north", "south"}, 1))
+		sim.decide = randomFaults(t)
 		check := func() {
-			by := w.now.Add(time.Duration(rapid.IntRange(-1000, 2000).Draw(t, "by")) * time.Millisecond)
+			by := sim.now.Add(time.Duration(rapid.IntRange(-1000, 2000).Draw(t, "by")) * time.Millisecond)
 			priority := rapid.IntRange(0, 2).Draw(t, "priority")
-			for _, p := range w.core.pools {
-				assert.Equal(t, p.demand.onTime.UpTo(by), w.core.naiveOnTime(p, by))
-				assert.Equal(t, p.demand.sumUpTo(priority), w.core.naiveLate(p, priority))
-				assert.Equal(t, p.demand.displaceableJobs.lowest(), w.core.naiveLowest(p))
+			for _, p := range sim.core.pools {
+				assert.Equal(t, p.demand.onTime.UpTo(by), sim.core.naiveOnTime(p, by))
+				assert.Equal(t, p.demand.sumUpTo(priority), sim.core.naiveLate(p, priority))
+				assert.Equal(t, p.demand.displaceableJobs.lowest(), sim.core.naiveLowest(p))
 			}
 		}
-		w.afterTick = check
+		sim.afterTick = check
 		for i := range rapid.IntRange(1, 40).Draw(t, "jobs") {
 			j := testJob(fmt.Sprint(i))
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 			j.Stages[0].Pieces = rapid.IntRange(0, 6).Draw(t, "heavy")
 			j.TokensIn = rapid.IntRange(100, 5000).Draw(t, "tokens")
 			j.Again = rapid.Bool().Draw(t, "again")
-			w.submit(j)
+			sim.submit(j)
 			check()
-			w.run(time.Duration(rapid.IntRange(0, 6).Draw(t, "gap")) * 10 * time.Millisecond)
+			sim.run(time.Duration(rapid.IntRange(0, 6).Draw(t, "gap")) * 10 * time.Millisecond)
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				w.core.Cancel(w.now, j.Ticket)
-				w.drain()
+				sim.core.Cancel(sim.now, j.Ticket)
+				sim.drain()
 			case 1:
-				w.core.HandOver(w.now)
-				w.drain()
+				sim.core.HandOver(sim.now)
+				sim.drain()
 			case 2:
-				w.core.Done(w.now, j.Ticket, true)
-				w.drain()
+				sim.core.Done(sim.now, j.Ticket, true)
+				sim.drain()
 			}
 			check()
 		}
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -66,7 +66,8 @@
 	// pause is active after failed requests.
 	pause health.Pause
 	// pace limits the requests to the engine while it is cold.
-	pace    warm.Pace
+	pace warm.Pace
+	// removed is true if the endpoint is no longer listed.
 	removed bool
 	// unreached is true while the owner cannot reach the engine's failure domain.
 	unreached bool
--- a/dispatch/engines.go
+++ b/dispatch/engines.go
@@ -57,8 +57,8 @@
 	es.recordPrompt(e, j.Prefix)
 }
 
-// recordPrompt records that an engine has cached a prompt. The last part is the
-// request's own and no other request looks it up.
+// recordPrompt records that an engine has cached a prompt. The last part is left
+// out of the readers: it is the request's own, and no other request looks it up.
 func (es *modelEngines) recordPrompt(e *engine, prefix []catalog.PrefixPart) {
 	e.cache.touch(prefix)
 	if len(es.all) <= maxFullComparison {
@@ -69,6 +69,8 @@
 	}
 }
 
+// addReader records that an engine has read a part. It forgets the oldest reader
+// of the part, or all parts, where a bound is reached.
 func (es *modelEngines) addReader(part string, e *engine) {
 	readers := es.readers[part]
 	for _, r := range readers {
--- a/dispatch/fill.go
+++ b/dispatch/fill.go
@@ -35,7 +35,7 @@
 }
 
 // idle returns the idle workers with memory for at least the smallest queued
-// result, the fastest first.
+// result, the fastest first or, if the call window is bounded, in hash order.
 func (c *Core) idle(p *pool, now time.Time) []*worker {
 	least := p.smallestResult()
 	var workers []*worker
--- a/dispatch/incarnation_test.go
+++ b/dispatch/incarnation_test.go
@@ -55,10 +55,10 @@
 	return restartedView(view, 1, ids...)
 }
 
-// An endpoint crashed and was back under its ID at once, and the results of the
-// old process were still passed to the next stages: the client got a 503, or an
-// answer made of another request's results. The results must be produced again, in
-// time.
+// TestRestartLosesResults guards against using results of an ended process. An
+// endpoint crashed and was back under its ID at once, and the old results were
+// still passed to the next stages: the client got a 503, or an answer made of
+// another request's results. The results must be produced again, in time.
 func TestRestartLosesResults(t *testing.T) {
 	cases := map[string]struct {
 		after time.Duration
@@ -76,10 +76,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			view := viewWithIncarnations(testView([]string{"north"}, 2))
-			w := newSimulation(view)
+			sim := newSimulation(view)
 			// lost holds the handles of ended processes.
 			lost := make(map[string]bool)
-			w.decide = func(call StartCall) (CallFault, Fault) {
+			sim.decide = func(call StartCall) (CallFault, Fault) {
 				for _, p := range call.Pieces {
 					for _, h := range p.Inputs {
 						if lost[h] {
@@ -89,84 +89,86 @@
 				}
 				return CallOK, FaultNone
 			}
-			w.submit(testJob("j"))
-			w.run(c.after)
-			assert.Equal(t, len(w.grants), 0, "the job must be under way")
-			for h := range w.produced {
+			sim.submit(testJob("j"))
+			sim.run(c.after)
+			assert.Equal(t, len(sim.grants), 0, "the job must be in progress")
+			for h := range sim.produced {
 				for _, id := range c.ids {
 					lost[h] = lost[h] || strings.HasPrefix(h, id+":80/")
 				}
 			}
 			if c.off > 0 {
-				w.core.SetView(w.now, viewWithout(view, c.ids...))
-				w.drain()
-				w.run(c.off)
+				sim.core.SetView(sim.now, viewWithout(view, c.ids...))
+				sim.drain()
+				sim.run(c.off)
 			}
-			w.core.SetView(w.now, restartedView(view, 2, c.ids...))
-			w.drain()
-			w.run(2500 * time.Millisecond)
-			assert.Equal(t, w.ends["j"], "")
-			grant, ok := w.grants["j"]
+			sim.core.SetView(sim.now, restartedView(view, 2, c.ids...))
+			sim.drain()
+			sim.run(2500 * time.Millisecond)
+			assert.Equal(t, sim.ends["j"], "")
+			grant, ok := sim.grants["j"]
 			assert.Assert(t, ok, "not granted")
 			assert.Equal(t, len(grant.Inputs), 10)
 			for _, h := range grant.Inputs {
-				assert.Assert(t, !lost[h], "%s was held by an ended process", h)
+				assert.Assert(t, !lost[h], "%s was kept by an ended process", h)
 			}
 		})
 	}
 }
 
-// An endpoint restarts. The slots and memory reserved for the old process must be
-// released, or calls wait for seconds while the endpoint is idle.
+// TestRestartReleasesReservations guards against slots and memory that stay
+// reserved for the old process of a restarted endpoint: calls would wait for
+// seconds while it is idle.
 func TestRestartReleasesReservations(t *testing.T) {
 	view := viewWithIncarnations(testView([]string{"north"}, 1))
-	w := newSimulation(view)
-	w.slow["encode-north-0"] = 100
-	w.submit(testJob("j"))
-	worker := w.core.pools[serviceHeavy].workers[0]
+	sim := newSimulation(view)
+	sim.slow["encode-north-0"] = 100
+	sim.submit(testJob("j"))
+	worker := sim.core.pools[serviceHeavy].workers[0]
 	assert.Equal(t, len(worker.calls), 1)
 	assert.Assert(t, worker.usedMemory > 0)
-	w.slow["encode-north-0"] = 1
-	w.core.SetView(w.now, restartedView(view, 2, "encode-north-0"))
-	now := w.core.pools[serviceHeavy].workers[0]
-	assert.Equal(t, now.speed, 1.0)
-	w.drain()
-	w.run(500 * time.Millisecond)
-	_, ok := w.grants["j"]
-	assert.Assert(t, ok, "not granted: %v", w.ends)
-	assert.Equal(t, len(w.core.calls), 0)
+	sim.slow["encode-north-0"] = 1
+	sim.core.SetView(sim.now, restartedView(view, 2, "encode-north-0"))
+	restarted := sim.core.pools[serviceHeavy].workers[0]
+	assert.Equal(t, restarted.speed, 1.0)
+	sim.drain()
+	sim.run(500 * time.Millisecond)
+	_, ok := sim.grants["j"]
+	assert.Assert(t, ok, "not granted: %v", sim.ends)
+	assert.Equal(t, len(sim.core.calls), 0)
 }
 
-// An ended process answers late, when the new one is listed already. Its results
-// must be ignored, since nobody keeps them any more.
+// TestLateAnswerOfEndedProcess guards against keeping the results of an ended
+// process whose answer arrives when the new one is listed already: nobody keeps
+// them any more.
 func TestLateAnswerOfEndedProcess(t *testing.T) {
 	view := viewWithIncarnations(testView([]string{"north"}, 1))
-	w := newSimulation(view)
-	w.submit(testJob("j"))
-	late := w.calls[0].call
-	w.calls = nil
-	w.core.SetView(w.now, restartedView(view, 2, "encode-north-0"))
-	w.endCall(late)
+	sim := newSimulation(view)
+	sim.submit(testJob("j"))
+	late := sim.calls[0].call
+	sim.calls = nil
+	sim.core.SetView(sim.now, restartedView(view, 2, "encode-north-0"))
+	sim.endCall(late)
 	old := make(map[string]bool)
-	for h := range w.produced {
+	for h := range sim.produced {
 		old[h] = true
 	}
 	assert.Assert(t, len(old) > 0)
-	w.drain()
-	assert.Equal(t, len(w.freed), 0, "the new process may use the same handles for other results")
-	w.run(1500 * time.Millisecond)
-	grant, ok := w.grants["j"]
+	sim.drain()
+	assert.Equal(t, len(sim.freed), 0, "the new process may use the same handles for other results")
+	sim.run(1500 * time.Millisecond)
+	grant, ok := sim.grants["j"]
 	assert.Assert(t, ok)
 	for _, h := range grant.Inputs {
 		assert.Assert(t, !old[h])
 	}
-	for h := range w.freed {
-		assert.Assert(t, !old[h], "%s was given up at the new process", h)
+	for h := range sim.freed {
+		assert.Assert(t, !old[h], "%s was freed at the new process", h)
 	}
 }
 
-// An endpoint that was slow and failing restarts. The new process must not inherit
-// the old one's record, or it gets no calls for seconds.
+// TestRestartResetsHealth guards against a new process that gets no calls for
+// seconds because the old one at its endpoint was slow and failing.
 func TestRestartResetsHealth(t *testing.T) {
 	view := viewWithIncarnations(testView([]string{"north"}, 1))
 	c := New("test")
@@ -189,8 +191,9 @@
 	assert.Equal(t, e.prefillTokens+e.requestTokens+len(e.requests), 0)
 }
 
-// An entry reports to a new queue owner which prompts it has sent to a process
-// that has ended. The owner must not expect the new process to have them cached.
+// TestPlacementAtEndedProcess guards against a new queue owner that sends prompts
+// to an engine for parts that it has not cached: the placements were reported for
+// the process before.
 func TestPlacementAtEndedProcess(t *testing.T) {
 	view := viewWithIncarnations(testView([]string{"north"}, 1))
 	c := New("test")
@@ -206,8 +209,8 @@
 	assert.Equal(t, e.cache.hit(parts), 9)
 }
 
-// A request that has failed on an engine must go elsewhere, but may go to a new
-// process of that engine.
+// TestAvoidedProcess checks that a request avoids an engine process on which it
+// has failed, but not a new process of the same engine.
 func TestAvoidedProcess(t *testing.T) {
 	view := viewWithIncarnations(testView([]string{"north"}, 2))
 	c := New("test")
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -62,6 +62,7 @@
 // job is the state of a Job.
 type job struct {
 	Job
+	// objectiveAt and deadlineAt are the times of the objective and the deadline.
 	objectiveAt time.Time
 	deadlineAt  time.Time
 	stages      []*stage
@@ -95,7 +96,8 @@
 	granted time.Time
 	// engine is the chosen engine; nil until the job is granted.
 	engine *engine
-	ended  bool
+	// ended is true once the job was granted and done, or refused, moved or cancelled.
+	ended bool
 }
 
 // stage is the state of one stage of a job.
@@ -118,10 +120,13 @@
 	startBy time.Time
 	// forecastStart is when, at admission, the last pieces were expected to start.
 	forecastStart time.Time
-	queued        bool
+	// queued is true while the stage is in its pool's queue.
+	queued bool
 	// avoidKey is the Key of the endpoint that last failed pieces of this stage.
-	avoidKey    string
+	avoidKey string
+	// failedTries counts the failures and losses of the stage's pieces and results.
 	failedTries int
+	// freed is true once the results of the stage are no longer needed.
 	freed       bool
 	demandEntry demandEntry
 }
--- a/dispatch/home.go
+++ b/dispatch/locality.go
@@ -25,16 +25,16 @@
 			bytes[r.worker.endpoint.Domain] += r.bytes
 		}
 	}
-	home, most := "", int64(largeResult-1)
+	preferred, most := "", int64(largeResult-1)
 	for domain, n := range bytes {
-		if n > most || n == most && domain < home {
-			home, most = domain, n
+		if n > most || n == most && domain < preferred {
+			preferred, most = domain, n
 		}
 	}
-	if home == "" && s.ResultBytes >= largeResult && j.consumers(s.index) == 0 {
+	if preferred == "" && s.ResultBytes >= largeResult && j.consumers(s.index) == 0 {
 		return j.preferredDomain
 	}
-	return home
+	return preferred
 }
 
 // mayRunIn reports whether pieces of s may run in a failure domain now: in the
@@ -60,11 +60,11 @@
 // preferred domain. Pieces with inputs read all of them, so they wait in any case.
 // Pieces for the engine alone wait for a fraction of the job's slack, because a
 // long prompt needs most of the time to the objective. A job that will miss its
-// objective anyway waits the full time.
+// objective anyway is in no hurry and waits the full time.
 func (s *stage) domainWait() time.Duration {
-	spare := s.startBy.Sub(s.readyAt)
-	if len(s.After) > 0 || spare < 0 {
+	slack := s.startBy.Sub(s.readyAt)
+	if len(s.After) > 0 || slack < 0 {
 		return maxDomainWait
 	}
-	return min(maxDomainWait, time.Duration(domainWaitShare*float64(spare)))
+	return min(maxDomainWait, time.Duration(domainWaitShare*float64(slack)))
 }
--- a/dispatch/home_test.go
+++ b/dispatch/locality_test.go
@@ -19,33 +19,34 @@
 	return j
 }
 
-// Each failure domain has one endpoint of a stage. Large results that only the
-// next stage reads waited 300 ms for a busy endpoint in the model engine's failure
-// domain although another endpoint was idle; this delayed a tenth of all requests
-// with such stages.
+// TestMiddleStageWaitsForNoDomain guards against results that wait for a domain
+// although no engine reads them. With one endpoint of a stage in each failure
+// domain, large results that only the next stage reads waited 300 ms for a busy
+// endpoint in the model engine's domain while another was idle; this delayed a
+// tenth of all requests with such stages.
 func TestMiddleStageWaitsForNoDomain(t *testing.T) {
 	view := testView([]string{"north", "south"}, 1)
 	view.Endpoint("model-south-0").Leaving = true
-	w := newSimulation(view)
-	w.slow["rank-north-0"] = 20
+	sim := newSimulation(view)
+	sim.slow["rank-north-0"] = 20
 	busy := testJob("busy")
 	busy.Stages = []StageWork{{Service: serviceLight, Pieces: 1, ResultBytes: 60_000}}
-	w.submit(busy)
-	assert.Equal(t, w.calls[0].call.Endpoint, "rank-north-0")
-	w.submit(chainJob("a"))
-	w.run(250 * time.Millisecond)
-	last := w.calls[len(w.calls)-1].call
+	sim.submit(busy)
+	assert.Equal(t, sim.calls[0].call.Endpoint, "rank-north-0")
+	sim.submit(chainJob("a"))
+	sim.run(250 * time.Millisecond)
+	last := sim.calls[len(sim.calls)-1].call
 	assert.Equal(t, last.Endpoint, "rank-south-0")
 	assert.Equal(t, last.Pieces[0].Request, "a")
 }
 
-// The last stage does wait for a failure domain: it reads all results of the one
-// before.
+// TestLastStageFollowsItsInputs checks that the last stage does wait for a failure
+// domain: it reads all results of the one before.
 func TestLastStageFollowsItsInputs(t *testing.T) {
-	w := newSimulation(testView([]string{"north", "south"}, 1))
-	w.submit(chainJob("a"))
-	w.run(time.Second)
-	j := w.core.jobs["a"]
+	sim := newSimulation(testView([]string{"north", "south"}, 1))
+	sim.submit(chainJob("a"))
+	sim.run(time.Second)
+	j := sim.core.jobs["a"]
 	assert.Assert(t, j != nil)
 	domain := j.stages[1].results[0].worker.endpoint.Domain
 	for _, s := range j.stages[1:] {
@@ -55,9 +56,10 @@
 	}
 }
 
-// A call had places left for half of a stage's pieces. The other half went to an
-// idle endpoint in another failure domain at once, and each piece of the next
-// stage had to read half of its inputs from there.
+// TestPiecesOfAStageStayInOneDomain guards against splitting a stage. A call had
+// places left for half of its pieces, the other half went to an idle endpoint in
+// another failure domain at once, and each piece of the next stage had to read
+// half of its inputs from there.
 func TestPiecesOfAStageStayInOneDomain(t *testing.T) {
 	c := New("test")
 	c.SetView(epoch, testView([]string{"north", "south"}, 1))
@@ -72,5 +74,5 @@
 	north, south := p.workers[0], p.workers[1]
 	assert.Equal(t, len(p.nextBatch(north, epoch)), 24)
 	assert.Equal(t, len(p.nextBatch(south, epoch)), 0)
-	assert.Equal(t, len(p.nextBatch(south, epoch.Add(maxDomainWait))), 8, "not for longer than a while")
+	assert.Equal(t, len(p.nextBatch(south, epoch.Add(maxDomainWait))), 8, "they wait no longer than maxDomainWait")
 }
--- a/dispatch/model_test.go
+++ b/dispatch/naive_test.go
@@ -13,14 +13,14 @@
 	"github.com/mangostage/mangostage/catalog"
 )
 
-// Whatever calls are lost, refused or failed, whichever clients leave, and however
-// long the process is paused: a grant has all results of its own stages and none
-// of another request, no result is freed twice or while it is needed, every job
-// ends, and nothing stays reserved.
+// TestPromisesUnderFaults checks that, whatever calls are lost, refused or failed,
+// whichever clients leave, and however long the process is paused, a grant has all
+// results of its own stages and none of another request, no result is freed twice
+// or while it is needed, every job ends, and nothing stays reserved.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(testView([]string{"north", "south"}, 1))
-		w.decide = randomFaults(t)
+		sim := newSimulation(testView([]string{"north", "south"}, 1))
+		sim.decide = randomFaults(t)
 		jobs := rapid.IntRange(1, 25).Draw(t, "jobs")
 		cancelled := make(map[string]bool)
 		for i := range jobs {
@@ -28,45 +28,45 @@
 			j := testJob(ticket)
 			j.Stages[0].Pieces = rapid.IntRange(0, 4).Draw(t, "heavy")
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
-			w.submit(j)
-			w.run(time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * 10 * time.Millisecond)
+			sim.submit(j)
+			sim.run(time.Duration(rapid.IntRange(0, 20).Draw(t, "gap")) * 10 * time.Millisecond)
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				w.core.Cancel(w.now, ticket)
+				sim.core.Cancel(sim.now, ticket)
 				cancelled[ticket] = true
-				w.drain()
+				sim.drain()
 			case 1:
-				w.now = w.now.Add(2 * time.Second)
+				sim.now = sim.now.Add(2 * time.Second)
 			case 2:
-				w.core.HandOver(w.now)
-				w.drain()
+				sim.core.HandOver(sim.now)
+				sim.drain()
 			}
 		}
-		w.run(10 * time.Second)
-		checkGrants(t, w)
+		sim.run(10 * time.Second)
+		checkGrants(t, sim)
 		for i := range jobs {
 			ticket := fmt.Sprint(i)
-			_, granted := w.grants[ticket]
-			assert.Assert(t, granted || w.ends[ticket] != "" || cancelled[ticket], "job %s has no end", ticket)
-			w.core.Done(w.now, ticket, true)
-			w.drain()
+			_, granted := sim.grants[ticket]
+			assert.Assert(t, granted || sim.ends[ticket] != "" || cancelled[ticket], "job %s did not end", ticket)
+			sim.core.Done(sim.now, ticket, true)
+			sim.drain()
 		}
-		w.run(10 * time.Second)
-		for h, n := range w.freed {
-			assert.Equal(t, n, 1, "%s given up %d times", h, n)
+		sim.run(10 * time.Second)
+		for h, n := range sim.freed {
+			assert.Equal(t, n, 1, "%s freed %d times", h, n)
 		}
-		assert.Equal(t, len(w.core.jobs), 0)
-		assertNothingReserved(t, w.core)
+		assert.Equal(t, len(sim.core.jobs), 0)
+		assertNothingReserved(t, sim.core)
 	})
 }
 
 // checkGrants fails if a grant has an input of another request, or the same input
 // twice.
-func checkGrants(t assert.TestingT, w *simulation) {
-	for ticket, g := range w.grants {
+func checkGrants(t assert.TestingT, sim *simulation) {
+	for ticket, g := range sim.grants {
 		seen := make(map[producedPiece]bool)
 		for _, h := range g.Inputs {
-			m := w.produced[h]
+			m := sim.produced[h]
 			assert.Equal(t, m.request, ticket)
 			assert.Assert(t, !seen[m], "%v twice", m)
 			seen[m] = true
@@ -78,11 +78,11 @@
 // stages by rank and then by startBy, and takes pieces as long as they fit.
 func naiveBatch(p *pool, w *worker, now time.Time) map[string]int {
 	rank := func(s *stage) int {
-		hopeful := !s.startBy.Add(startTolerance).Before(now)
+		attainable := !s.startBy.Add(startTolerance).Before(now)
 		switch {
-		case hopeful && !s.job.late:
+		case attainable && !s.job.late:
 			return 0
-		case hopeful:
+		case attainable:
 			return 1
 		case s.job.started:
 			return 2
@@ -97,23 +97,23 @@
 		return stages[i].startBy.Before(stages[j].startBy)
 	})
 	taken := make(map[string]int)
-	room, places := w.freeMemory(p.memoryShare), p.spec.Items
+	memory, places := w.freeMemory(p.memoryShare), p.spec.Items
 	for _, s := range stages {
 		patience := maxDomainWait
-		if spare := s.startBy.Sub(s.readyAt); spare >= 0 && len(s.After) == 0 {
-			patience = min(maxDomainWait, time.Duration(domainWaitShare*float64(spare)))
+		if slack := s.startBy.Sub(s.readyAt); slack >= 0 && len(s.After) == 0 {
+			patience = min(maxDomainWait, time.Duration(domainWaitShare*float64(slack)))
 		}
 		elsewhere := s.preferredDomain != "" && s.preferredDomain != w.endpoint.Domain && now.Sub(s.readyAt) < patience && hasUsableWorker(p, s.preferredDomain)
 		if elsewhere || s.avoidKey == w.endpoint.ID && usableWorkers(p) > 1 {
 			continue
 		}
 		for range s.waiting {
-			if places == 0 || s.ResultBytes > room {
+			if places == 0 || s.ResultBytes > memory {
 				break
 			}
 			taken[s.job.Ticket]++
 			places--
-			room -= s.ResultBytes
+			memory -= s.ResultBytes
 		}
 	}
 	return taken
@@ -178,7 +178,8 @@
 	return least
 }
 
-// The engine chosen costs no more than the cheapest one, except for affinityBonus.
+// TestChooseMatchesNaive checks that the engine chosen costs no more than the
+// cheapest one, except for affinityBonus.
 func TestChooseMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New("test")
@@ -208,8 +209,9 @@
 	})
 }
 
-// Results expire at their time and not before, whatever the order in which they
-// were added and released. The naive counterpart checks all of them each time.
+// TestResultExpiryMatchesNaive checks that results expire at their time and not
+// before, whatever the order in which they were added and released. The naive
+// counterpart checks all of them each time.
 func TestResultExpiryMatchesNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := heavySpec
@@ -247,14 +249,14 @@
 	})
 }
 
-// An event that frees memory or a place must start the next call; otherwise
-// clients wait although an endpoint that could serve them is idle. After each tick
-// no idle endpoint may have a waiting piece that fits, so that none waits for
-// longer than a tick.
+// TestNoPieceWaitsForAnIdleEndpoint guards against clients that wait although an
+// endpoint that could serve them is idle: an event that frees memory or a place
+// must start the next call. After each tick no idle endpoint may have a waiting
+// piece that fits, so that none waits for longer than a tick.
 func TestNoPieceWaitsForAnIdleEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSimulation(testView([]string{"north", "south"}, rapid.IntRange(1, 2).Draw(t, "endpoints")))
-		w.decide = func(StartCall) (CallFault, Fault) {
+		sim := newSimulation(testView([]string{"north", "south"}, rapid.IntRange(1, 2).Draw(t, "endpoints")))
+		sim.decide = func(StartCall) (CallFault, Fault) {
 			switch rapid.IntRange(0, 9).Draw(t, "fate") {
 			case 0:
 				return CallLost, FaultNone
@@ -265,30 +267,30 @@
 			}
 			return CallOK, FaultNone
 		}
-		w.afterTick = func() { assertNoIdleWorkerFits(t, w) }
+		sim.afterTick = func() { assertNoIdleWorkerFits(t, sim) }
 		for i := range rapid.IntRange(1, 25).Draw(t, "jobs") {
 			j := testJob(fmt.Sprint(i))
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
-			w.submit(j)
-			w.run(time.Duration(rapid.IntRange(0, 30).Draw(t, "gap")) * 10 * time.Millisecond)
+			sim.submit(j)
+			sim.run(time.Duration(rapid.IntRange(0, 30).Draw(t, "gap")) * 10 * time.Millisecond)
 			if rapid.IntRange(0, 5).Draw(t, "leaves") == 0 {
-				w.core.Cancel(w.now, j.Ticket)
-				w.drain()
+				sim.core.Cancel(sim.now, j.Ticket)
+				sim.drain()
 			}
 		}
-		w.run(3 * time.Second)
+		sim.run(3 * time.Second)
 	})
 }
 
 // assertNoIdleWorkerFits checks with naiveBatch, which changes nothing, that no
 // waiting piece fits an idle worker.
-func assertNoIdleWorkerFits(t assert.TestingT, w *simulation) {
-	for _, p := range w.core.pools {
+func assertNoIdleWorkerFits(t assert.TestingT, sim *simulation) {
+	for _, p := range sim.core.pools {
 		for _, worker := range p.workers {
-			if !worker.idle(w.now) {
+			if !worker.idle(sim.now) {
 				continue
 			}
-			fits := naiveBatch(p, worker, w.now)
+			fits := naiveBatch(p, worker, sim.now)
 			assert.Assert(t, len(fits) == 0, "%s is idle while %v wait for %s", worker.endpoint.ID, fits, p.name)
 		}
 	}
--- a/dispatch/owners_test.go
+++ b/dispatch/owners_test.go
@@ -119,13 +119,13 @@
 
 // endDue ends the call at an endpoint if it is due, and starts the next one.
 func (s *sharedEndpoints) endDue(endpoint string) {
-	held := s.queues[endpoint]
-	if len(held) == 0 || held[0].until.After(s.now) {
+	queue := s.queues[endpoint]
+	if len(queue) == 0 || queue[0].until.After(s.now) {
 		return
 	}
-	first := held[0]
-	s.queues[endpoint] = held[1:]
-	if len(held) > 1 {
+	first := queue[0]
+	s.queues[endpoint] = queue[1:]
+	if len(queue) > 1 {
 		s.startFirst(endpoint)
 	}
 	var outcomes []Outcome
@@ -154,23 +154,23 @@
 
 // refusedShare returns the fraction of the calls that found an endpoint full.
 func (s *sharedEndpoints) refusedShare() float64 {
-	calls, vain := 0, 0
+	calls, refused := 0, 0
 	for i := range s.calls {
 		calls += s.calls[i]
-		vain += s.refusedCalls[i]
+		refused += s.refusedCalls[i]
 	}
-	return float64(vain) / float64(max(1, calls))
+	return float64(refused) / float64(max(1, calls))
 }
 
 // TestIsolatedOwnersShareEndpoints guards against a partitioned fleet whose owners
 // call all endpoints and keep each other from being served.
 func TestIsolatedOwnersShareEndpoints(t *testing.T) {
-	const perSecond, mostInVain = 150, 0.05
+	const perSecond, maxRefused = 150, 0.05
 	for _, owners := range []int{2, 3} {
 		t.Run(fmt.Sprint(owners), func(t *testing.T) {
 			s := newSharedEndpoints(owners, 1/float64(owners))
 			s.run(perSecond/float64(owners), 8*time.Second)
-			assert.Assert(t, s.refusedShare() < mostInVain, "%.3f of the calls in vain", s.refusedShare())
+			assert.Assert(t, s.refusedShare() < maxRefused, "%.3f of the calls refused", s.refusedShare())
 			for owner, n := range s.granted {
 				assert.Assert(t, n > perSecond*8/owners*4/5, "owner %d granted %d", owner, n)
 			}
@@ -183,18 +183,18 @@
 func TestManyOwnersDoNotFlood(t *testing.T) {
 	// Each owner may be refused a few times a second, however many endpoints there
 	// are.
-	const perSecond, mostInVain, span = 150, 8.0, 8 * time.Second
+	const perSecond, maxRefused, span = 150, 8.0, 8 * time.Second
 	for _, owners := range []int{20, 100} {
 		t.Run(fmt.Sprint(owners), func(t *testing.T) {
 			s := newSharedEndpoints(owners, 0)
 			s.run(perSecond/float64(owners), span)
 			granted := 0
 			for owner, n := range s.granted {
-				inVain := float64(s.refusedCalls[owner]) / span.Seconds()
-				assert.Assert(t, inVain < mostInVain, "owner %d: %.1f calls a second in vain", owner, inVain)
+				refused := float64(s.refusedCalls[owner]) / span.Seconds()
+				assert.Assert(t, refused < maxRefused, "owner %d: %.1f calls a second refused", owner, refused)
 				granted += n
 			}
-			t.Logf("%.3f of the calls in vain, %d granted, %d refused", s.refusedShare(), granted, s.refusedJobs)
+			t.Logf("%.3f of the calls refused, %d jobs granted, %d jobs refused", s.refusedShare(), granted, s.refusedJobs)
 			assert.Assert(t, granted > perSecond*int(span.Seconds())/2, "%d granted", granted)
 		})
 	}
@@ -210,7 +210,7 @@
 	calls := startedCalls(c.Effects())
 	assert.Assert(t, len(calls) > 0)
 	c.HandOver(epoch)
-	assert.Equal(t, len(c.Effects()), 0, "a call may run: the job stays")
+	assert.Equal(t, len(c.Effects()), 0, "a call may be running: the job stays")
 	for _, call := range calls {
 		c.CallEnded(epoch, call.Call, CallRefused, nil)
 	}
@@ -238,16 +238,16 @@
 // TestStartedJobsStayWithTheirOwner guards against moving a job although only this
 // process knows the results of its first pieces.
 func TestStartedJobsStayWithTheirOwner(t *testing.T) {
-	w := newSimulation(testView([]string{"north"}, 1))
-	w.submit(testJob("a"))
-	w.run(400 * time.Millisecond)
-	w.core.HandOver(w.now)
-	w.decide = func(StartCall) (CallFault, Fault) { return CallRefused, FaultNone }
-	w.run(400 * time.Millisecond)
-	assert.Equal(t, w.ends["a"], "")
-	w.decide = nil
-	w.run(3 * time.Second)
-	assert.Assert(t, w.grants["a"].Ticket == "a")
+	sim := newSimulation(testView([]string{"north"}, 1))
+	sim.submit(testJob("a"))
+	sim.run(400 * time.Millisecond)
+	sim.core.HandOver(sim.now)
+	sim.decide = func(StartCall) (CallFault, Fault) { return CallRefused, FaultNone }
+	sim.run(400 * time.Millisecond)
+	assert.Equal(t, sim.ends["a"], "")
+	sim.decide = nil
+	sim.run(3 * time.Second)
+	assert.Assert(t, sim.grants["a"].Ticket == "a")
 }
 
 func startedCalls(effects []Effect) []StartCall {
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// timeoutFactor times its expected time is the timeout of a call, without the
-	// slack. Endpoints of one service differ in speed by less.
+	// timeoutFactor times the expected time of a call, plus timeoutSlack, is its
+	// timeout, which is longer at endpoints known to be slow. Endpoints of one service
+	// differ in speed by less than this factor.
 	timeoutFactor = 2.2
 	// timeoutSlack is added to each timeout for connecting and for fetching inputs.
 	timeoutSlack = 150 * time.Millisecond
@@ -66,7 +67,7 @@
 	// of an earlier queue owner occupy memory: part of each call still fits.
 	memoryShareMin = 0.8
 	// memoryShareLoss is subtracted from memoryShare after a call in which a piece
-	// found no memory, and memoryShareGain is added after one in which all did.
+	// found no memory, and memoryShareGain is added after a call without such a piece.
 	memoryShareLoss = 0.01
 	memoryShareGain = 0.0005
 )
@@ -180,22 +181,22 @@
 // half-finished jobs hold memory at endpoints, and delaying them stalls
 // everything.
 func (p *pool) nextBatch(w *worker, now time.Time) []callPiece {
-	pick := batchBuilder{pool: p, worker: w, now: now, freeMemory: w.freeMemory(p.memoryShare), places: w.places()}
-	if pick.freeMemory < p.smallestResult() {
+	builder := batchBuilder{pool: p, worker: w, now: now, freeMemory: w.freeMemory(p.memoryShare), places: w.places()}
+	if builder.freeMemory < p.smallestResult() {
 		return nil
 	}
 	if w.suspect {
-		pick.takeProbe()
-		return pick.pieces
+		builder.takeProbe()
+		return builder.pieces
 	}
 	first := sort.Search(len(p.queue), func(i int) bool { return !p.queue[i].startBy.Add(startTolerance).Before(now) })
-	hopeless, hopeful := p.queue[:first], p.queue[first:]
-	pick.takeMatching(hopeful, func(s *stage) bool { return !s.job.late })
-	pick.takeMatching(hopeful, func(s *stage) bool { return s.job.late })
-	pick.takeMatching(hopeless, func(s *stage) bool { return s.job.started })
-	pick.takeMatching(hopeless, func(s *stage) bool { return !s.job.started })
-	pick.removeEmptyStages()
-	return pick.pieces
+	missed, attainable := p.queue[:first], p.queue[first:]
+	builder.takeMatching(attainable, func(s *stage) bool { return !s.job.late })
+	builder.takeMatching(attainable, func(s *stage) bool { return s.job.late })
+	builder.takeMatching(missed, func(s *stage) bool { return s.job.started })
+	builder.takeMatching(missed, func(s *stage) bool { return !s.job.started })
+	builder.removeEmptyStages()
+	return builder.pieces
 }
 
 // batchBuilder collects the pieces of one call.
@@ -210,75 +211,75 @@
 
 // takeMatching takes pieces of the stages in a part of the queue that want accepts
 // and that fit the worker.
-func (k *batchBuilder) takeMatching(queue []*stage, want func(*stage) bool) {
+func (b *batchBuilder) takeMatching(queue []*stage, want func(*stage) bool) {
 	for _, s := range queue {
-		if k.places == 0 {
+		if b.places == 0 {
 			return
 		}
-		if want(s) && k.canTake(s) {
-			k.take(s)
+		if want(s) && b.canTake(s) {
+			b.take(s)
 		}
 	}
 }
 
 // takeProbe takes one piece for a suspect worker. It takes the one with the latest
 // startBy, which can best afford a delay.
-func (k *batchBuilder) takeProbe() {
-	for _, s := range slices.Backward(k.pool.queue) {
-		if !k.canTake(s) {
+func (b *batchBuilder) takeProbe() {
+	for _, s := range slices.Backward(b.pool.queue) {
+		if !b.canTake(s) {
 			continue
 		}
-		k.take(s)
+		b.take(s)
 		break
 	}
-	k.removeEmptyStages()
+	b.removeEmptyStages()
 }
 
 // canTake reports whether pieces of s may run at the worker now.
-func (k *batchBuilder) canTake(s *stage) bool {
-	if len(s.waiting) == 0 || s.ResultBytes > k.freeMemory {
+func (b *batchBuilder) canTake(s *stage) bool {
+	if len(s.waiting) == 0 || s.ResultBytes > b.freeMemory {
 		return false
 	}
-	if s.avoidKey == k.worker.key && k.pool.usable > 1 {
+	if s.avoidKey == b.worker.key && b.pool.usable > 1 {
 		return false
 	}
-	return s.mayRunIn(k.worker.endpoint.Domain, k.pool, k.now)
+	return s.mayRunIn(b.worker.endpoint.Domain, b.pool, b.now)
 }
 
 // take moves waiting pieces of s into the call.
-func (k *batchBuilder) take(s *stage) {
-	n := min(len(s.waiting), k.places)
+func (b *batchBuilder) take(s *stage) {
+	n := min(len(s.waiting), b.places)
 	if s.ResultBytes > 0 {
-		n = min(n, int(k.freeMemory/s.ResultBytes))
+		n = min(n, int(b.freeMemory/s.ResultBytes))
 	}
 	for _, index := range s.waiting[:n] {
-		k.pieces = append(k.pieces, callPiece{stage: s, index: index})
+		b.pieces = append(b.pieces, callPiece{stage: s, index: index})
 	}
 	s.waiting = s.waiting[n:]
 	s.updateDemand()
-	k.pool.waiting -= n
-	k.places -= n
-	k.freeMemory -= int64(n) * s.ResultBytes
+	b.pool.waiting -= n
+	b.places -= n
+	b.freeMemory -= int64(n) * s.ResultBytes
 	if len(s.waiting) == 0 {
-		k.pool.learnForecastError(s, k.now)
+		b.pool.learnForecastError(s, b.now)
 		return
 	}
-	s.pinDomain(k.worker.endpoint.Domain)
+	s.pinDomain(b.worker.endpoint.Domain)
 }
 
 // removeEmptyStages removes stages without waiting pieces from the queue.
-func (k *batchBuilder) removeEmptyStages() {
-	if len(k.pieces) == 0 {
+func (b *batchBuilder) removeEmptyStages() {
+	if len(b.pieces) == 0 {
 		return
 	}
-	kept := k.pool.queue[:0]
-	for _, s := range k.pool.queue {
+	kept := b.pool.queue[:0]
+	for _, s := range b.pool.queue {
 		if len(s.waiting) > 0 {
 			kept = append(kept, s)
 			continue
 		}
-		k.pool.markDequeued(s)
+		b.pool.markDequeued(s)
 	}
-	clear(k.pool.queue[len(kept):])
-	k.pool.queue = kept
+	clear(b.pool.queue[len(kept):])
+	b.pool.queue = kept
 }
--- a/dispatch/prompt_test.go
+++ b/dispatch/prompt_test.go
@@ -13,8 +13,8 @@
 	assert.Assert(t, (got-want).Abs() < want/10, "%v, want about %v", got, want)
 }
 
-// The engines of a new deployment read a third as fast as the prior observations
-// say.
+// TestPromptTimesAdapt checks that the estimates follow engines that read a third
+// as fast as the prior observations say.
 func TestPromptTimesAdapt(t *testing.T) {
 	times := newPromptTimes()
 	assertNear(t, times.estimate(0), promptBaseGuess)
@@ -26,8 +26,8 @@
 	assertNear(t, times.estimate(20_000), 1700*time.Millisecond)
 }
 
-// Times reported by engines and clocks may be absurd; no single one may outweigh
-// the others.
+// TestPromptTimesBoundExtremeInput checks that no single time outweighs the
+// others: those reported by engines and clocks may be absurd.
 func TestPromptTimesBoundExtremeInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := newPromptTimes()
@@ -42,8 +42,9 @@
 	})
 }
 
-// If all prompts of a deployment have one length, the time for each token cannot
-// be determined, but the time for such a prompt can.
+// TestPromptTimesOfOneLength checks the estimates if all prompts of a deployment
+// have one length: the time for each token cannot be determined then, but the time
+// for such a prompt can.
 func TestPromptTimesOfOneLength(t *testing.T) {
 	for _, tokens := range []int{0, 17, 4_999, 33_333, 99_991} {
 		times := newPromptTimes()
@@ -55,22 +56,23 @@
 	}
 }
 
-// The first event of a request may be reported twice, as after a resend; it must
-// count once.
+// TestFirstEventCountsOnce checks that a first event that is reported twice, as
+// after a resend, counts once.
 func TestFirstEventCountsOnce(t *testing.T) {
-	w := newSimulation(testView([]string{"north"}, 1))
-	w.submit(testJob("a"))
-	w.run(2 * time.Second)
-	e := w.core.modelEngines[serviceModel].all[0]
+	sim := newSimulation(testView([]string{"north"}, 1))
+	sim.submit(testJob("a"))
+	sim.run(2 * time.Second)
+	e := sim.core.modelEngines[serviceModel].all[0]
 	slow, learned := e.slowness, e.times.n
-	w.core.FirstEvent(w.now, "a")
+	sim.core.FirstEvent(sim.now, "a")
 	assert.Equal(t, e.slowness, slow)
 	assert.Equal(t, e.times.n, learned)
 }
 
-// A long prompt is read for nearly a second. Its pieces waited 300 ms for an
-// endpoint in the engine's failure domain, as those of short prompts do, and half
-// of the longest tenth of all prompts missed their objective.
+// TestLongPromptsWaitLessForTheirDomain guards against long prompts that miss
+// their objective. One is read for nearly a second; its pieces waited 300 ms for
+// an endpoint in the engine's failure domain, as those of short prompts do, and
+// half of the longest tenth of all prompts were late.
 func TestLongPromptsWaitLessForTheirDomain(t *testing.T) {
 	for name, test := range map[string]struct {
 		tokens  int
@@ -84,26 +86,27 @@
 		t.Run(name, func(t *testing.T) {
 			view := testView([]string{"north", "south"}, 1)
 			view.Endpoint("model-south-0").Leaving = true
-			w := newSimulation(view)
-			w.slow["encode-north-0"] = 20
+			sim := newSimulation(view)
+			sim.slow["encode-north-0"] = 20
 			busy := testJob("busy")
 			busy.Stages = busy.Stages[:1]
-			w.submit(busy)
-			assert.Equal(t, w.calls[0].call.Endpoint, "encode-north-0")
+			sim.submit(busy)
+			assert.Equal(t, sim.calls[0].call.Endpoint, "encode-north-0")
 			j := testJob("a")
 			j.Stages = j.Stages[:1]
 			j.TokensIn = test.tokens
 			j.Objective = test.objects
-			w.submit(j)
-			w.run(200 * time.Millisecond)
-			assert.Equal(t, w.core.jobs["a"].started, test.starts)
+			sim.submit(j)
+			sim.run(200 * time.Millisecond)
+			assert.Equal(t, sim.core.jobs["a"].started, test.starts)
 		})
 	}
 }
 
-// An engine becomes five times slower while its health is good, and clients whose
-// prompts it reads wait five times as long. Other engines must get the prompts,
-// and the engine must get its share again once it has recovered.
+// TestSlowEngineGetsFewerPrompts guards against an engine that becomes five times
+// slower while its health is good: clients whose prompts it reads wait five times
+// as long. Other engines must get the prompts, and the engine must get its share
+// again once it has recovered.
 func TestSlowEngineGetsFewerPrompts(t *testing.T) {
 	c := New("test")
 	c.SetView(epoch, testView([]string{"north"}, 2))
@@ -125,7 +128,8 @@
 	assert.Equal(t, es.choose(j, nil, later), slow)
 }
 
-// Impossible times must not affect the slowness.
+// TestSlownessBoundsExtremeInput checks that impossible times do not affect the
+// slowness.
 func TestSlownessBoundsExtremeInput(t *testing.T) {
 	var s slowness
 	s.learn(-time.Second, time.Second, epoch)
--- a/dispatch/reach_test.go
+++ b/dispatch/reach_test.go
@@ -14,28 +14,28 @@
 func TestUnreachedDomainGetsNoFullCalls(t *testing.T) {
 	const cut = "north"
 	view := testView([]string{cut, "south"}, 3)
-	w := newSimulation(view)
-	w.core.Promoted(1)
-	w.core.Reach([]string{cut})
+	sim := newSimulation(view)
+	sim.core.Promoted(1)
+	sim.core.Reach([]string{cut})
 	in := func(endpoint string) bool { return view.Endpoint(endpoint).Domain == cut }
-	w.decide = func(c StartCall) (CallFault, Fault) {
+	sim.decide = func(c StartCall) (CallFault, Fault) {
 		if !in(c.Endpoint) {
 			return CallOK, FaultNone
 		}
 		assert.Equal(t, len(c.Pieces), 1, c.Endpoint)
 		return CallLost, FaultNone
 	}
-	w.burst(20, 2*time.Second)
-	w.run(time.Second)
-	assert.Assert(t, len(w.grants) > 0)
-	for _, g := range w.grants {
+	sim.burst(20, 2*time.Second)
+	sim.run(time.Second)
+	assert.Assert(t, len(sim.grants) > 0)
+	for _, g := range sim.grants {
 		assert.Assert(t, !in(g.Endpoint), "%s was granted", g.Endpoint)
 	}
 	// The domain can be reached again.
-	w.core.Reach(nil)
-	w.decide = nil
-	calls := recordCalls(w)
-	w.burst(40, 3*time.Second)
+	sim.core.Reach(nil)
+	sim.decide = nil
+	calls := recordCalls(sim)
+	sim.burst(40, 3*time.Second)
 	most, granted := 0, 0
 	for _, e := range view.Endpoints(serviceHeavy) {
 		for _, c := range calls[e.ID] {
@@ -44,27 +44,27 @@
 			}
 		}
 	}
-	for _, g := range w.grants {
+	for _, g := range sim.grants {
 		if in(g.Endpoint) {
 			granted++
 		}
 	}
-	assert.Assert(t, most > 1 && granted > 0, "%d pieces at most, %d grants after the heal", most, granted)
+	assert.Assert(t, most > 1 && granted > 0, "at most %d pieces a call and %d grants after the domain was reachable again", most, granted)
 }
 
 // TestUnreachedDomainThatAnswersIsUsed guards against idle endpoints in a failure
 // domain whose gateways were all lost while its endpoints are healthy.
 func TestUnreachedDomainThatAnswersIsUsed(t *testing.T) {
-	w := newSimulation(testView([]string{"north", "south"}, 2))
-	w.core.Promoted(1)
-	w.core.Reach([]string{"north"})
-	calls := recordCalls(w)
-	w.burst(40, 2*time.Second)
+	sim := newSimulation(testView([]string{"north", "south"}, 2))
+	sim.core.Promoted(1)
+	sim.core.Reach([]string{"north"})
+	calls := recordCalls(sim)
+	sim.burst(40, 2*time.Second)
 	for i := range 2 {
 		most := 0
 		for _, c := range calls[fmt.Sprintf("encode-north-%d", i)] {
 			most = max(most, len(c.Pieces))
 		}
-		assert.Assert(t, most > 1, "%d pieces at most in a call", most)
+		assert.Assert(t, most > 1, "at most %d pieces a call", most)
 	}
 }
--- a/dispatch/lose.go
+++ b/dispatch/replaced.go
@@ -41,8 +41,8 @@
 // the new process assigns the same ones again. Results of the old process would be
 // passed on, or freed, as if they existed, and the job would fail or get the
 // results of another one. Therefore its calls end as lost at once, so that a late
-// answer is ignored, its results stay recorded at the old worker, and results that
-// jobs still need are produced again.
+// answer is ignored, the accounting of its memory is not carried over to the new
+// worker, and results that jobs still need are produced again.
 func (c *Core) discardWorker(w *worker, now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(w.calls)) {
 		cl := w.calls[id]
--- a/dispatch/results.go
+++ b/dispatch/results.go
@@ -92,6 +92,7 @@
 	return false
 }
 
+// freeAll frees all results of a job.
 func (c *Core) freeAll(j *job, now time.Time) {
 	for _, s := range j.stages {
 		s.freed = true
--- a/dispatch/shortage_test.go
+++ b/dispatch/shortage_test.go
@@ -12,20 +12,20 @@
 
 // refusals submits a burst and returns the refusals.
 func refusals(view *catalog.View, jobs int, job func(i int) Job) []Refuse {
-	w := newSimulation(view)
+	sim := newSimulation(view)
 	var refused []Refuse
 	for i := range jobs {
-		if err := w.core.Submit(w.now, job(i)); err != nil {
+		if err := sim.core.Submit(sim.now, job(i)); err != nil {
 			panic(err)
 		}
-		effects := w.core.Effects()
+		effects := sim.core.Effects()
 		for _, e := range effects {
 			if r, ok := e.(Refuse); ok {
 				refused = append(refused, r)
 			}
 		}
-		w.apply(effects)
-		w.run(10 * time.Millisecond)
+		sim.apply(effects)
+		sim.run(10 * time.Millisecond)
 	}
 	return refused
 }
--- a/dispatch/world_test.go
+++ b/dispatch/simulation_test.go
@@ -107,6 +107,7 @@
 	}
 }
 
+// inFlightCall is a call that ends at a set time.
 type inFlightCall struct {
 	call StartCall
 	at   time.Time
@@ -129,21 +130,21 @@
 	return w
 }
 
-func (w *simulation) submit(j Job) {
-	if err := w.core.Submit(w.now, j); err != nil {
+func (sim *simulation) submit(j Job) {
+	if err := sim.core.Submit(sim.now, j); err != nil {
 		panic(err)
 	}
-	w.drain()
+	sim.drain()
 }
 
 // drain carries out the effects, including those that they cause.
-func (w *simulation) drain() {
-	for effects := w.core.Effects(); len(effects) > 0; effects = w.core.Effects() {
-		w.apply(effects)
+func (sim *simulation) drain() {
+	for effects := sim.core.Effects(); len(effects) > 0; effects = sim.core.Effects() {
+		sim.apply(effects)
 	}
 }
 
-func (w *simulation) apply(effects []Effect) {
+func (sim *simulation) apply(effects []Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case StartCall:
@@ -152,72 +153,72 @@
 				spec = lightSpec
 			}
 			took := spec.CallTime + time.Duration(len(e.Pieces))*spec.ItemTime
-			took = time.Duration(float64(took) * max(1, w.slow[e.Endpoint]))
-			w.calls = append(w.calls, inFlightCall{call: e, at: w.now.Add(min(took, e.Timeout))})
+			took = time.Duration(float64(took) * max(1, sim.slow[e.Endpoint]))
+			sim.calls = append(sim.calls, inFlightCall{call: e, at: sim.now.Add(min(took, e.Timeout))})
 		case Grant:
-			w.grants[e.Ticket] = e
-			w.firstEvents[e.Ticket] = w.now.Add(firstEventAfter)
+			sim.grants[e.Ticket] = e
+			sim.firstEvents[e.Ticket] = sim.now.Add(firstEventAfter)
 		case Refuse:
-			w.ends[e.Ticket] = string(e.Reason)
+			sim.ends[e.Ticket] = string(e.Reason)
 		case Move:
-			w.ends[e.Ticket] = "moved"
+			sim.ends[e.Ticket] = "moved"
 		case Free:
 			for _, h := range e.Handles {
-				w.freed[h]++
+				sim.freed[h]++
 			}
-			w.core.FreeEnded(w.now, e.ID, w.freesFail == nil || !w.freesFail())
+			sim.core.FreeEnded(sim.now, e.ID, sim.freesFail == nil || !sim.freesFail())
 		}
 	}
 }
 
 // run advances the time in steps of 10 ms.
-func (w *simulation) run(d time.Duration) {
-	end := w.now.Add(d)
-	for w.now.Before(end) {
-		w.now = w.now.Add(10 * time.Millisecond)
-		w.endDue()
-		w.sendFirstEvents()
-		w.core.Tick(w.now)
-		w.drain()
-		if w.afterTick != nil {
-			w.afterTick()
+func (sim *simulation) run(d time.Duration) {
+	end := sim.now.Add(d)
+	for sim.now.Before(end) {
+		sim.now = sim.now.Add(10 * time.Millisecond)
+		sim.endDue()
+		sim.sendFirstEvents()
+		sim.core.Tick(sim.now)
+		sim.drain()
+		if sim.afterTick != nil {
+			sim.afterTick()
 		}
 	}
 }
 
 // sendFirstEvents reports the first events that are due.
-func (w *simulation) sendFirstEvents() {
-	for _, ticket := range slices.Sorted(maps.Keys(w.firstEvents)) {
-		if !w.firstEvents[ticket].After(w.now) {
-			delete(w.firstEvents, ticket)
-			w.core.FirstEvent(w.now, ticket)
-			w.drain()
+func (sim *simulation) sendFirstEvents() {
+	for _, ticket := range slices.Sorted(maps.Keys(sim.firstEvents)) {
+		if !sim.firstEvents[ticket].After(sim.now) {
+			delete(sim.firstEvents, ticket)
+			sim.core.FirstEvent(sim.now, ticket)
+			sim.drain()
 		}
 	}
 }
 
 // endDue ends the calls that are due.
-func (w *simulation) endDue() {
-	var still []inFlightCall
+func (sim *simulation) endDue() {
+	var remaining []inFlightCall
 	var due []inFlightCall
-	for _, f := range w.calls {
-		if f.at.After(w.now) {
-			still = append(still, f)
+	for _, f := range sim.calls {
+		if f.at.After(sim.now) {
+			remaining = append(remaining, f)
 		} else {
 			due = append(due, f)
 		}
 	}
-	w.calls = still
+	sim.calls = remaining
 	for _, f := range due {
-		w.endCall(f.call)
-		w.drain()
+		sim.endCall(f.call)
+		sim.drain()
 	}
 }
 
-func (w *simulation) endCall(call StartCall) {
+func (sim *simulation) endCall(call StartCall) {
 	fault, pieceFault := CallOK, FaultNone
-	if w.decide != nil {
-		fault, pieceFault = w.decide(call)
+	if sim.decide != nil {
+		fault, pieceFault = sim.decide(call)
 	}
 	var outcomes []Outcome
 	for i, p := range call.Pieces {
@@ -225,10 +226,10 @@
 			outcomes = append(outcomes, Outcome{Fault: pieceFault})
 			continue
 		}
-		w.lastID++
-		handle := fmt.Sprintf("%s/%d", call.Addr, w.lastID)
-		w.produced[handle] = producedPiece{request: p.Request, stage: p.Stage, index: p.Index}
+		sim.lastID++
+		handle := fmt.Sprintf("%s/%d", call.Addr, sim.lastID)
+		sim.produced[handle] = producedPiece{request: p.Request, stage: p.Stage, index: p.Index}
 		outcomes = append(outcomes, Outcome{Handle: handle})
 	}
-	w.core.CallEnded(w.now, call.Call, fault, outcomes)
+	sim.core.CallEnded(sim.now, call.Call, fault, outcomes)
 }
--- a/dispatch/overdue_test.go
+++ b/dispatch/speed_test.go
@@ -9,13 +9,13 @@
 )
 
 // recordCalls records the calls to each endpoint that end from now on.
-func recordCalls(w *simulation) map[string][]StartCall {
+func recordCalls(sim *simulation) map[string][]StartCall {
 	calls := make(map[string][]StartCall)
-	fate := w.decide
-	w.decide = func(c StartCall) (CallFault, Fault) {
+	decide := sim.decide
+	sim.decide = func(c StartCall) (CallFault, Fault) {
 		calls[c.Endpoint] = append(calls[c.Endpoint], c)
-		if fate != nil {
-			return fate(c)
+		if decide != nil {
+			return decide(c)
 		}
 		return CallOK, FaultNone
 	}
@@ -23,12 +23,12 @@
 }
 
 // burst submits jobs at an even rate for a time.
-func (w *simulation) burst(perSecond int, d time.Duration) {
+func (sim *simulation) burst(perSecond int, d time.Duration) {
 	between := time.Second / time.Duration(perSecond)
 	for range int(d / between) {
-		w.lastID++
-		w.submit(testJob(fmt.Sprint("burst-", w.lastID)))
-		w.run(between)
+		sim.lastID++
+		sim.submit(testJob(fmt.Sprint("burst-", sim.lastID)))
+		sim.run(between)
 	}
 }
 
@@ -37,9 +37,9 @@
 // full call was sent as soon as the pause was over.
 func TestSlowedEndpointsGetNoSecondFullCall(t *testing.T) {
 	const slowed = "encode-north-0"
-	w := newSimulation(testView([]string{"north"}, 4))
-	w.burst(30, time.Second)
-	w.slow[slowed] = 5
+	sim := newSimulation(testView([]string{"north"}, 4))
+	sim.burst(30, time.Second)
+	sim.slow[slowed] = 5
 	lost := func(c StartCall) (CallFault, Fault) {
 		full := heavySpec.CallTime + time.Duration(len(c.Pieces))*heavySpec.ItemTime
 		if c.Endpoint == slowed && 5*full > c.Timeout {
@@ -47,31 +47,31 @@
 		}
 		return CallOK, FaultNone
 	}
-	w.decide = lost
-	calls := recordCalls(w)
-	w.burst(30, 4*time.Second)
+	sim.decide = lost
+	calls := recordCalls(sim)
+	sim.burst(30, 4*time.Second)
 	overdue, after := 0, 0
 	for _, c := range calls[slowed] {
 		if overdue > 0 {
-			assert.Equal(t, len(c.Pieces), 1, "a suspect gets a piece at a time")
+			assert.Equal(t, len(c.Pieces), 1, "a suspect endpoint gets one piece a call")
 			after++
 		}
 		if fault, _ := lost(c); fault == CallLost {
 			overdue++
 		}
 	}
-	assert.Assert(t, overdue > 0 && after > 0, "%d calls overdue, %d after the first", overdue, after)
+	assert.Assert(t, overdue > 0 && after > 0, "%d calls lost, %d calls after the first of them", overdue, after)
 
 	// The endpoint recovers and must get full calls again.
-	delete(w.slow, slowed)
-	w.decide = nil
-	calls = recordCalls(w)
-	w.burst(30, 4*time.Second)
+	delete(sim.slow, slowed)
+	sim.decide = nil
+	calls = recordCalls(sim)
+	sim.burst(30, 4*time.Second)
 	most := 0
 	for _, c := range calls[slowed] {
 		most = max(most, len(c.Pieces))
 	}
-	assert.Assert(t, most > 1, "it never got a full call again, of %d", len(calls[slowed]))
+	assert.Assert(t, most > 1, "no call of more than one piece among %d", len(calls[slowed]))
 }
 
 // TestCallsWithoutWorkDoNotUpdateSpeed guards against an endpoint whose memory is
--- a/dispatch/stats.go
+++ b/dispatch/stats.go
@@ -100,6 +100,7 @@
 	return stats
 }
 
+// stats returns the state of the worker at now.
 func (w *worker) stats(now time.Time) WorkerStats {
 	return WorkerStats{
 		Endpoint: w.endpoint.ID,
@@ -117,6 +118,7 @@
 	}
 }
 
+// stats returns the state of the engine at now.
 func (e *engine) stats(now time.Time) EngineStats {
 	return EngineStats{
 		Endpoint:    e.endpoint.ID,
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -39,8 +39,8 @@
 // dueJobs returns the jobs to be granted or given up.
 func (c *Core) dueJobs(now time.Time) []*job {
 	return c.filterJobs(func(j *job) bool {
-		_, hopeless := j.shouldGiveUp(now)
-		return hopeless || j.engine == nil && j.stagesDone()
+		_, expired := j.shouldGiveUp(now)
+		return expired || j.engine == nil && j.stagesDone()
 	})
 }
 
@@ -59,9 +59,9 @@
 // giveUp ends a job that can no longer be served. Holding it until its deadline
 // would help nobody: its client can retry meanwhile.
 func (c *Core) giveUp(j *job, now time.Time) {
-	reason, hopeless := j.shouldGiveUp(now)
+	reason, expired := j.shouldGiveUp(now)
 	switch {
-	case !hopeless:
+	case !expired:
 	case j.engine != nil:
 		c.finish(j, now)
 	default:
--- a/dispatch/view.go
+++ b/dispatch/view.go
@@ -31,6 +31,7 @@
 	c.dispatch(now)
 }
 
+// setPool updates the pool of a stage service and its workers from a view.
 func (c *Core) setPool(s *catalog.Service, view *catalog.View) {
 	p := c.pools[s.Name]
 	first := p == nil
@@ -67,6 +68,7 @@
 	}
 }
 
+// setEngines updates the engines of a model service from a view.
 func (c *Core) setEngines(s *catalog.Service, view *catalog.View) {
 	known := c.modelEngines[s.Name]
 	if known == nil {
@@ -86,12 +88,12 @@
 		next.byKey[e.key] = e
 		next.all = append(next.all, e)
 	}
-	left := false
+	anyRemoved := false
 	for _, e := range known.all {
 		e.removed = next.byKey[e.key] == nil
-		left = left || e.removed
+		anyRemoved = anyRemoved || e.removed
 	}
-	if left {
+	if anyRemoved {
 		next.dropRemovedReaders()
 	}
 	c.modelEngines[s.Name] = next
--- a/dispatch/window.go
+++ b/dispatch/window.go
@@ -36,7 +36,8 @@
 	// its calls.
 	roundStart               time.Time
 	roundEnded, roundRefused int
-	contended                bool
+	// contended is true from the first contended round on; raiseLimit resets it.
+	contended bool
 	// pause is active after a refused call.
 	pause health.Pause
 }
@@ -46,25 +47,25 @@
 
 // setLimit sets the limit to a share of the call slots; there is no limit if share
 // is 1.
-func (w *callWindow) setLimit(share float64, places int) {
+func (w *callWindow) setLimit(share float64, slots int) {
 	w.limit = unbounded
 	if share < 1 {
-		w.limit = max(1, int(math.Ceil(share*float64(places))))
+		w.limit = max(1, int(math.Ceil(share*float64(slots))))
 	}
 }
 
 // raiseLimit raises the limit to a share of the call slots, unless it is higher
 // already.
-func (w *callWindow) raiseLimit(share float64, places int) {
+func (w *callWindow) raiseLimit(share float64, slots int) {
 	limit := w.limit
 	w.contended = false
-	w.setLimit(share, places)
+	w.setLimit(share, slots)
 	w.limit = max(limit, w.limit)
 }
 
-// callEnded accounts for the end of a call. round is the average call time, places
+// callEnded accounts for the end of a call. round is the average call time, slots
 // the number of calls that the endpoints take at a time.
-func (w *callWindow) callEnded(refused bool, round time.Duration, places int, now time.Time) {
+func (w *callWindow) callEnded(refused bool, round time.Duration, slots int, now time.Time) {
 	w.inFlight--
 	if w.limit == unbounded {
 		return
@@ -83,7 +84,7 @@
 	case float64(w.roundRefused) > contendedShare*float64(w.roundEnded):
 		w.limit = max(1, w.roundEnded-w.roundRefused)
 		w.contended = true
-	case w.limit >= places:
+	case w.limit >= slots:
 		w.limit = unbounded
 	case w.contended:
 		w.limit++
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -58,7 +58,9 @@
 	// answered.
 	consecutiveRefusals int
 	// pace limits the calls to the endpoint while it is cold.
-	pace    warm.Pace
+	pace warm.Pace
+	// removed is true if the endpoint is not listed, or another process answers at its
+	// address.
 	removed bool
 }
 
