--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -62,7 +62,7 @@
 	}
 	assert.Assert(t, overdue > 0 && after > 0, "%d calls lost, %d calls after the first of them", overdue, after)
 
-	// The endpoint recovers and must get full calls again.
+	// The endpoint recovers and must get full calls again within the burst.
 	delete(sim.slow, slowed)
 	sim.decide = nil
 	calls = recordCalls(sim)
