--- a/member/bundles.go
+++ b/member/bundles.go
@@ -31,12 +31,12 @@
 	ErrNoBundle = errs.NewType("no_bundle")
 )
 
-// spreadDo passes an event to the spread core and carries out its effects.
-func (s *Service) spreadDo(event func(*spreadCore) spreadEffects) {
-	s.spreadMu.Lock()
-	effects := event(s.spread)
-	s.spreadMu.Unlock()
-	for _, vm := range effects.Tell {
+// updateGossip passes an event to the spread core and carries out its effects.
+func (s *Service) updateGossip(event func(*gossipCore) gossipEffects) {
+	s.gossipMu.Lock()
+	effects := event(s.gossip)
+	s.gossipMu.Unlock()
+	for _, vm := range effects.SendHead {
 		if l := s.links.get(vm); l != nil {
 			signal(l.wake)
 		}
@@ -49,16 +49,16 @@
 	}
 }
 
-// spreadLoop drives the spread core's waves, exchanges and repeated fetches.
-func (s *Service) spreadLoop() {
+// gossipLoop drives the spread core's waves, exchanges and repeated fetches.
+func (s *Service) gossipLoop() {
 	for {
 		var next time.Duration
-		s.spreadDo(func(c *spreadCore) spreadEffects {
+		s.updateGossip(func(c *gossipCore) gossipEffects {
 			effects, wait := c.tick(s.cfg.Now())
 			next = wait
 			return effects
 		})
-		if !s.sleepUnless(next, s.spreadWake) {
+		if !s.sleepOrWake(next, s.gossipWake) {
 			return
 		}
 	}
@@ -85,11 +85,11 @@
 
 func (s *Service) onHead(from *peer.Conn, head wire.BundleHead) {
 	s.stats.HeadsReceived.Add(1)
-	l := s.links.of(from)
+	l := s.links.forConn(from)
 	if l == nil {
 		return
 	}
-	s.spreadDo(func(c *spreadCore) spreadEffects { return c.heard(s.cfg.Now(), l.vm, head) })
+	s.updateGossip(func(c *gossipCore) gossipEffects { return c.headReceived(s.cfg.Now(), l.vm, head) })
 }
 
 // fetch asks a peer for a bundle and offers it.
@@ -103,13 +103,13 @@
 		s.stats.BundleBytesIn.Add(int64(len(body)))
 		a := s.offer(body, "peer "+order.VM)
 		if !a.Changed() && a.Result != bundle.ResultCollected {
-			s.spreadMu.Lock()
-			s.spread.refuse(s.cfg.Now(), order.Head)
-			s.spreadMu.Unlock()
+			s.gossipMu.Lock()
+			s.gossip.markRefused(s.cfg.Now(), order.Head)
+			s.gossipMu.Unlock()
 		}
 	}
-	s.spreadDo(func(c *spreadCore) spreadEffects { return c.fetched(s.cfg.Now(), order, err == nil) })
-	signal(s.spreadWake)
+	s.updateGossip(func(c *gossipCore) gossipEffects { return c.fetchDone(s.cfg.Now(), order, err == nil) })
+	signal(s.gossipWake)
 }
 
 func (s *Service) fetchBody(order fetchOrder) ([]byte, error) {
@@ -158,8 +158,8 @@
 	a := s.cfg.Holder.Offer(s.cfg.Now(), signed, source)
 	s.recordOffer(&a)
 	s.apply(&a)
-	if a.Result == bundle.ResultCollected && s.settled.Load() {
-		s.settleHeld()
+	if a.Result == bundle.ResultCollected && s.collectionDone.Load() {
+		s.adoptCollected()
 	}
 	return a
 }
@@ -170,16 +170,16 @@
 		if s.cfg.OnBundle != nil {
 			s.cfg.OnBundle(s.cfg.Holder.Current())
 		}
-		s.inForce.Store(true)
+		s.bundleInForce.Store(true)
 	}
 	if a.Changed() || a.Result == bundle.ResultCollected {
-		s.spreadDo(func(c *spreadCore) spreadEffects { return c.adopted(s.cfg.Now(), a.Held) })
-		signal(s.spreadWake)
+		s.updateGossip(func(c *gossipCore) gossipEffects { return c.headAdopted(s.cfg.Now(), a.Held) })
+		signal(s.gossipWake)
 	}
 }
 
 // settleHeld ends the collection of offers. The caller holds offerMu.
-func (s *Service) settleHeld() {
+func (s *Service) adoptCollected() {
 	a := s.cfg.Holder.Settle(s.cfg.Now())
 	if a.Result != bundle.ResultNothing {
 		s.recordOffer(&a)
@@ -209,6 +209,6 @@
 }
 
 // canceled tells whether a call ended because the service stops.
-func (s *Service) canceled(err error) bool {
+func (s *Service) isStopping(err error) bool {
 	return s.ctx.Err() != nil || errors.Is(err, context.Canceled)
 }
--- a/member/conns.go
+++ b/member/conns.go
@@ -29,7 +29,7 @@
 	if a.Link == nil {
 		return
 	}
-	s.linked(a.Link, &hello)
+	s.linkUp(a.Link, &hello)
 	s.spawn(func() { s.sendHeads(a.Link) })
 	if s.cfg.OnReport != nil && hello.Process.Role == wire.RoleAgent {
 		s.cfg.OnReport(hello.Report)
@@ -43,16 +43,16 @@
 }
 
 // refusedLog bounds the lines about strangers: anyone can make any number.
-var refusedLog = &zerolog.BurstSampler{Burst: 5, Period: time.Second}
+var refusedLogSampler = &zerolog.BurstSampler{Burst: 5, Period: time.Second}
 
-func (s *Service) onRefuse(from net.Addr, err error) {
-	log := s.cfg.Log.Sample(refusedLog)
+func (s *Service) onHandshakeFailed(from net.Addr, err error) {
+	log := s.cfg.Log.Sample(refusedLogSampler)
 	log.Warn().Str("event", logPeerRefused).Stringer("address", from).Err(err).Msg("peer without a valid certificate refused")
 }
 
 // lingerTime is how long a connection that another took the place of stays
 // open. Calls may be in flight on it; cutting them would lose their results.
-const lingerTime = 30 * time.Second
+const retireTimeout = 30 * time.Second
 
 // retire ends a connection that is not to be used any more, and tells the
 // other side at once, which may have chosen it.
@@ -61,7 +61,7 @@
 	s.cfg.Log.Debug().Str("event", logRetired).Str("vm", helloVM(&hello)).Str("reason", reason).Msg("connection retired")
 	s.spawn(func() {
 		_ = conn.Notify(wire.MethodRetireNote, wire.Retire{})
-		timer := time.NewTimer(lingerTime)
+		timer := time.NewTimer(retireTimeout)
 		defer timer.Stop()
 		select {
 		case <-conn.Done():
@@ -80,7 +80,7 @@
 	if gone == nil {
 		return
 	}
-	s.unlinked(gone)
+	s.linkDown(gone)
 	signal(s.bundleWake)
 }
 
@@ -92,7 +92,7 @@
 // for as long as the second lasts: its endpoint gets no work, and bundles pass
 // it by. Therefore each looks, under the core's lock, whether its word still
 // holds; the other one then has the last word.
-func (s *Service) linked(l *link, hello *wire.Hello) {
+func (s *Service) linkUp(l *link, hello *wire.Hello) {
 	now := s.cfg.Now()
 	s.coreMu.Lock()
 	if s.links.get(l.vm) == l {
@@ -100,24 +100,24 @@
 	}
 	s.coreMu.Unlock()
 	s.markDirty()
-	s.spreadDo(func(c *spreadCore) spreadEffects {
+	s.updateGossip(func(c *gossipCore) gossipEffects {
 		if s.links.get(l.vm) != l {
-			return spreadEffects{}
+			return gossipEffects{}
 		}
 		return c.peerUp(now, l.vm, hello, l.conn.Dialed())
 	})
 }
 
-func (s *Service) unlinked(gone *link) {
+func (s *Service) linkDown(gone *link) {
 	s.coreMu.Lock()
 	if s.links.get(gone.vm) == nil {
 		s.views.disconnect(s.cfg.Now(), gone.vm, gone.process)
 	}
 	s.coreMu.Unlock()
-	s.spreadMu.Lock()
+	s.gossipMu.Lock()
 	if s.links.get(gone.vm) == nil {
-		s.spread.peerDown(gone.vm)
+		s.gossip.peerDown(gone.vm)
 	}
-	s.spreadMu.Unlock()
+	s.gossipMu.Unlock()
 	s.markDirty()
 }
--- a/member/conns_test.go
+++ b/member/conns_test.go
@@ -22,24 +22,24 @@
 	connected := func() bool {
 		view, _, _ := s.views.view(time.Now())
 		m, _ := view.VM(hello.VM)
-		_, known := s.spread.peers[hello.VM]
+		_, known := s.gossip.peers[hello.VM]
 		assert.Equal(t, m.Connected, known)
 		return m.Connected
 	}
 	admit := func() *link { return s.links.admit(time.Now(), &peer.Conn{}, &hello).Link }
 
 	first := admit()
-	s.linked(first, &hello)
+	s.linkUp(first, &hello)
 	assert.Assert(t, connected())
 	assert.Equal(t, s.links.remove(first.conn), first)
 	second := admit()
-	s.linked(second, &hello)
-	s.unlinked(first)
+	s.linkUp(second, &hello)
+	s.linkDown(first)
 	assert.Assert(t, connected(), "the end of the first was believed")
 
 	assert.Equal(t, s.links.remove(second.conn), second)
-	s.unlinked(second)
+	s.linkDown(second)
 	assert.Assert(t, !connected())
-	s.linked(second, &hello)
+	s.linkUp(second, &hello)
 	assert.Assert(t, !connected(), "a link that had ended was believed")
 }
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -16,7 +16,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var simulationStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func drawList(t *rapid.T) []confsvc.VM {
 	states := []confsvc.VMState{confsvc.VMLive, confsvc.VMLeaving}
@@ -35,8 +35,8 @@
 		vms := drawList(t)
 		live, watching := make(map[string]int), make(map[string]int)
 		for _, vm := range vms {
-			core := newSpreadCore(vm.Name, wire.Process{Domain: vm.Domain}, 0, rand.New(rand.NewPCG(1, 1)))
-			core.list(vms)
+			core := newGossipCore(vm.Name, wire.Process{Domain: vm.Domain}, 0, rand.New(rand.NewPCG(1, 1)))
+			core.applyList(vms)
 			if core.watcher {
 				watching[vm.Domain]++
 			}
@@ -58,13 +58,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		core := newViewCore("self")
 		hello := wire.Hello{Process: wire.Process{Name: "a", Incarnation: "i1", Role: wire.RoleAgent}}
-		now := epoch
+		now := simulationStart
 		var heldUntil time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "seconds")) * time.Second)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				core.list(now, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
+				core.applyList(now, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
 				if heldUntil.IsZero() {
 					break
 				}
@@ -72,18 +72,18 @@
 					t.Fatalf("back to live %v too early", heldUntil.Sub(now))
 				}
 			case 1:
-				core.list(now, []confsvc.VM{{Name: "a", State: confsvc.VMLeaving}})
-				heldUntil = now.Add(leavingHold)
+				core.applyList(now, []confsvc.VM{{Name: "a", State: confsvc.VMLeaving}})
+				heldUntil = now.Add(leavingHoldTime)
 			case 2:
-				if core.noted(&wire.VMNote{VM: "a", Process: hello.Process}) {
-					heldUntil = now.Add(leavingHold)
+				if core.applyNote(&wire.VMNote{VM: "a", Process: hello.Process}) {
+					heldUntil = now.Add(leavingHoldTime)
 				}
 			case 3:
 				core.connect(now, "a", &hello)
 			case 4:
 				core.disconnect(now, "a", hello.Process)
 			case 5:
-				core.list(now, nil)
+				core.applyList(now, nil)
 				if core.members["a"] == nil {
 					heldUntil = time.Time{}
 				}
@@ -95,28 +95,28 @@
 func TestReplacedVMIsLiveAtOnce(t *testing.T) {
 	core := newViewCore("self")
 	hello := wire.Hello{Process: wire.Process{Name: "a", Incarnation: "i1", Role: wire.RoleAgent}}
-	core.connect(epoch, "a", &hello)
-	core.list(epoch, []confsvc.VM{{Name: "a", State: confsvc.VMLeaving}})
-	core.disconnect(epoch, "a", hello.Process)
+	core.connect(simulationStart, "a", &hello)
+	core.applyList(simulationStart, []confsvc.VM{{Name: "a", State: confsvc.VMLeaving}})
+	core.disconnect(simulationStart, "a", hello.Process)
 	hello.Process.Incarnation = "i2"
-	core.connect(epoch, "a", &hello)
+	core.connect(simulationStart, "a", &hello)
 	assert.Assert(t, core.members["a"].leaving, "the list still says so")
-	core.list(epoch, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
+	core.applyList(simulationStart, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
 	assert.Assert(t, !core.members["a"].leaving)
 	old := wire.VMNote{VM: "a", Process: wire.Process{Name: "a", Incarnation: "i1"}}
-	assert.Assert(t, !core.noted(&old), "a note about the VM's predecessor")
+	assert.Assert(t, !core.applyNote(&old), "a note about the VM's predecessor")
 }
 
 func TestListedClaimOwnsEndpoint(t *testing.T) {
 	core := newViewCore("self")
 	intruder := wire.Process{Name: "a", Incarnation: "i1", Role: wire.RoleAgent}
-	core.connect(epoch, "a", &wire.Hello{Process: intruder, Report: wire.AgentReport{Process: intruder, Endpoint: "e"}})
-	core.list(epoch, []confsvc.VM{{Name: "b", Endpoint: "e"}})
-	view, _, claims := core.view(epoch)
+	core.connect(simulationStart, "a", &wire.Hello{Process: intruder, Report: wire.AgentReport{Process: intruder, Endpoint: "e"}})
+	core.applyList(simulationStart, []confsvc.VM{{Name: "b", Endpoint: "e"}})
+	view, _, claims := core.view(simulationStart)
 	owner, _ := view.Endpoint("e")
 	assert.Equal(t, owner.VM.Name, "b")
 	assert.DeepEqual(t, claims, []Claim{{Endpoint: "e", VM: "a"}})
-	_, _, claims = core.view(epoch)
+	_, _, claims = core.view(simulationStart)
 	assert.Equal(t, len(claims), 0, "told once")
 }
 
@@ -125,7 +125,7 @@
 func TestSupersededProcessStaysOut(t *testing.T) {
 	l := newLinks("self")
 	run := func(incarnation string) admission {
-		return l.admit(epoch, &peer.Conn{}, &wire.Hello{VM: "a", Process: wire.Process{Incarnation: incarnation}})
+		return l.admit(simulationStart, &peer.Conn{}, &wire.Hello{VM: "a", Process: wire.Process{Incarnation: incarnation}})
 	}
 	assert.Assert(t, run("i1").Link != nil)
 	second := run("i2")
@@ -137,40 +137,42 @@
 // A process that starts while the configuration service is stale would serve
 // its callers under a withdrawn bundle, unless it waits for a peer's word.
 func TestSettles(t *testing.T) {
-	ready := settleState{Elapsed: settleLeast, PlatformTried: true, ListTried: true, ListRead: true, Named: 2, Answered: 2}
+	ready := collectState{Elapsed: minCollectTime, PlatformTried: true, ListTried: true, ListRead: true, NamedPeers: 2, AnsweredPeers: 2}
 	for name, c := range map[string]struct {
-		change func(*settleState)
+		change func(*collectState)
 		want   bool
 	}{
-		"all answered":         {func(*settleState) {}, true},
-		"no peers named":       {func(s *settleState) { s.Named, s.Answered = 0, 0 }, true},
-		"too early":            {func(s *settleState) { s.Elapsed = 0 }, false},
-		"platform not tried":   {func(s *settleState) { s.PlatformTried = false }, false},
-		"fetching":             {func(s *settleState) { s.Fetching = 1 }, false},
-		"some answered":        {func(s *settleState) { s.Answered = 1 }, false},
-		"some, after a window": {func(s *settleState) { s.Answered, s.Elapsed = 1, settleWindow }, true},
-		"none answered":        {func(s *settleState) { s.Answered, s.Elapsed = 0, settleWindow }, false},
-		"list down, no peer":   {func(s *settleState) { s.ListRead, s.Named, s.Answered, s.Elapsed = false, 0, 0, settleWindow }, false},
-		"none, at the longest": {func(s *settleState) { s.Answered, s.Elapsed = 0, settleLongest }, true},
+		"all answered":         {func(*collectState) {}, true},
+		"no peers named":       {func(s *collectState) { s.NamedPeers, s.AnsweredPeers = 0, 0 }, true},
+		"too early":            {func(s *collectState) { s.Elapsed = 0 }, false},
+		"platform not tried":   {func(s *collectState) { s.PlatformTried = false }, false},
+		"fetching":             {func(s *collectState) { s.Fetching = 1 }, false},
+		"some answered":        {func(s *collectState) { s.AnsweredPeers = 1 }, false},
+		"some, after a window": {func(s *collectState) { s.AnsweredPeers, s.Elapsed = 1, collectWindow }, true},
+		"none answered":        {func(s *collectState) { s.AnsweredPeers, s.Elapsed = 0, collectWindow }, false},
+		"list down, no peer": {func(s *collectState) {
+			s.ListRead, s.NamedPeers, s.AnsweredPeers, s.Elapsed = false, 0, 0, collectWindow
+		}, false},
+		"none, at the longest": {func(s *collectState) { s.AnsweredPeers, s.Elapsed = 0, maxCollectTime }, true},
 	} {
 		state := ready
 		c.change(&state)
-		assert.Equal(t, state.settles(), c.want, name)
+		assert.Equal(t, state.done(), c.want, name)
 	}
 }
 
 // cluster runs spread cores against each other on a virtual clock.
-type cluster struct {
-	now    time.Time
-	rng    *rand.Rand
-	cores  map[string]*spreadCore
-	behind map[string]time.Time
-	queue  []func()
+type gossipSimulation struct {
+	now      time.Time
+	rng      *rand.Rand
+	cores    map[string]*gossipCore
+	nextTick map[string]time.Time
+	queue    []func()
 	// loss is the share of notifications lost; fetchLoss that of fetches.
-	loss, fetchLoss float64
+	notificationLoss, fetchLoss float64
 }
 
-func (c *cluster) holds(head wire.BundleHead) bool {
+func (c *gossipSimulation) allHold(head wire.BundleHead) bool {
 	for _, core := range c.cores {
 		if core.head != head {
 			return false
@@ -179,41 +181,41 @@
 	return true
 }
 
-func (c *cluster) do(self string, e spreadEffects) {
-	for _, to := range e.Tell {
-		if c.rng.Float64() >= c.loss {
-			c.queue = append(c.queue, func() { c.do(to, c.cores[to].heard(c.now, self, c.cores[self].head)) })
+func (c *gossipSimulation) run(self string, e gossipEffects) {
+	for _, to := range e.SendHead {
+		if c.rng.Float64() >= c.notificationLoss {
+			c.queue = append(c.queue, func() { c.run(to, c.cores[to].headReceived(c.now, self, c.cores[self].head)) })
 		}
 	}
 	for _, from := range e.Exchange {
-		c.queue = append(c.queue, func() { c.do(self, c.cores[self].heard(c.now, from, c.cores[from].head)) })
+		c.queue = append(c.queue, func() { c.run(self, c.cores[self].headReceived(c.now, from, c.cores[from].head)) })
 	}
 	for _, order := range e.Fetch {
-		c.queue = append(c.queue, func() { c.fetched(self, order) })
+		c.queue = append(c.queue, func() { c.fetchDone(self, order) })
 	}
 }
 
-func (c *cluster) fetched(self string, order fetchOrder) {
+func (c *gossipSimulation) fetchDone(self string, order fetchOrder) {
 	core, got := c.cores[self], c.cores[order.VM].head
 	ok := c.rng.Float64() >= c.fetchLoss
-	if ok && later(got, core.head) {
-		c.do(self, core.adopted(c.now, got))
+	if ok && newerHead(got, core.head) {
+		c.run(self, core.headAdopted(c.now, got))
 	} else if ok {
-		core.refuse(c.now, order.Head)
+		core.markRefused(c.now, order.Head)
 	}
-	c.do(self, core.fetched(c.now, order, ok))
-	c.behind[self] = c.now
+	c.run(self, core.fetchDone(c.now, order, ok))
+	c.nextTick[self] = c.now
 }
 
-func (c *cluster) step() {
+func (c *gossipSimulation) step() {
 	c.now = c.now.Add(50 * time.Millisecond)
 	for _, name := range slices.Sorted(maps.Keys(c.cores)) {
-		if c.now.Before(c.behind[name]) {
+		if c.now.Before(c.nextTick[name]) {
 			continue
 		}
 		effects, next := c.cores[name].tick(c.now)
-		c.behind[name] = c.now.Add(next)
-		c.do(name, effects)
+		c.nextTick[name] = c.now.Add(next)
+		c.run(name, effects)
 	}
 	for len(c.queue) > 0 {
 		i := c.rng.IntN(len(c.queue))
@@ -235,9 +237,9 @@
 			loss, limit = 0.3, time.Minute
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		c := &cluster{
-			now: epoch, rng: rand.New(rand.NewPCG(seed, 0)), loss: loss, fetchLoss: 0.3,
-			cores: make(map[string]*spreadCore), behind: make(map[string]time.Time),
+		c := &gossipSimulation{
+			now: simulationStart, rng: rand.New(rand.NewPCG(seed, 0)), notificationLoss: loss, fetchLoss: 0.3,
+			cores: make(map[string]*gossipCore), nextTick: make(map[string]time.Time),
 		}
 		var names []string
 		for i := range entries + agents {
@@ -247,7 +249,7 @@
 			}
 			name := fmt.Sprintf("%s-%d", role, i)
 			names = append(names, name)
-			c.cores[name] = newSpreadCore(name, wire.Process{Role: role}, 0, rand.New(rand.NewPCG(seed, uint64(i)+1)))
+			c.cores[name] = newGossipCore(name, wire.Process{Role: role}, 0, rand.New(rand.NewPCG(seed, uint64(i)+1)))
 		}
 		for i, entry := range names[:entries] {
 			for _, other := range names[i+1:] {
@@ -260,14 +262,14 @@
 			core := c.cores[rapid.SampledFrom(names).Draw(t, "holder")]
 			version := uint64(rapid.IntRange(1, 3).Draw(t, "version"))
 			head := wire.BundleHead{Version: version, Hash: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hash")}
-			if later(head, core.head) {
-				c.do(core.self, core.adopted(c.now, head))
+			if newerHead(head, core.head) {
+				c.run(core.self, core.headAdopted(c.now, head))
 			}
-			if later(head, highest) {
+			if newerHead(head, highest) {
 				highest = head
 			}
 		}
-		for !c.holds(highest) && c.now.Before(epoch.Add(limit)) {
+		for !c.allHold(highest) && c.now.Before(simulationStart.Add(limit)) {
 			c.step()
 		}
 		for _, name := range names {
@@ -281,12 +283,12 @@
 func TestConnectionOutweighsTheList(t *testing.T) {
 	core := newViewCore("self")
 	hello := wire.Hello{Process: wire.Process{Name: "a", Incarnation: "i1", Role: wire.RoleAgent}}
-	core.list(epoch, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
-	core.connect(epoch, "a", &hello)
-	core.list(epoch.Add(time.Second), nil)
-	core.list(epoch.Add(2*absentHold), nil)
+	core.applyList(simulationStart, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
+	core.connect(simulationStart, "a", &hello)
+	core.applyList(simulationStart.Add(time.Second), nil)
+	core.applyList(simulationStart.Add(2*absentRetention), nil)
 	assert.Assert(t, core.members["a"] != nil, "a connected VM was dropped")
-	core.disconnect(epoch.Add(2*absentHold), "a", hello.Process)
-	core.list(epoch.Add(3*absentHold), nil)
+	core.disconnect(simulationStart.Add(2*absentRetention), "a", hello.Process)
+	core.applyList(simulationStart.Add(3*absentRetention), nil)
 	assert.Assert(t, core.members["a"] == nil)
 }
--- a/member/cost_test.go
+++ b/member/cost_test.go
@@ -9,12 +9,12 @@
 
 // platformShare is the part of the calls made in a steady state that a fleet
 // four times as large may need.
-const platformShare = 3.0
+const maxCallGrowth = 3.0
 
 // judgedSize is the largest fleet whose time until a bundle is in force is
 // judged. All processes share this machine, and a larger one keeps it so busy
 // that the time says nothing of the spread; it is reported.
-const judgedSize = 40
+const maxTimedFleet = 40
 
 // TestPlatformCallsGrowSlowly measures the calls of a whole fleet: the
 // platform's limits grow more slowly than the fleet.
@@ -36,8 +36,8 @@
 		idle := f.totals()
 		f.publish(2)
 		took := f.awaitVersion(2, time.Minute)
-		if size <= judgedSize {
-			assert.Assert(t, took <= inForceWithin, "%d processes took %v", size, took)
+		if size <= maxTimedFleet {
+			assert.Assert(t, took <= maxAdoptionTime, "%d processes took %v", size, took)
 		}
 		change := f.totals()
 		t.Logf("%d processes: %d calls until ready, then %.1f a second; control bytes out per process %.0f a second idle; "+
@@ -50,7 +50,7 @@
 		}
 	}
 	for i := range rates[1:] {
-		assert.Assert(t, rates[i+1] < platformShare*rates[i], "%v", rates)
+		assert.Assert(t, rates[i+1] < maxCallGrowth*rates[i], "%v", rates)
 	}
 }
 
--- a/member/dial.go
+++ b/member/dial.go
@@ -18,16 +18,16 @@
 	// dialTimeout bounds one attempt, the hello included.
 	dialTimeout = 4 * time.Second
 	// firstRedial and slowestRedial bound the wait after a failed attempt.
-	firstRedial   = 100 * time.Millisecond
-	slowestRedial = 5 * time.Second
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 5 * time.Second
 	// yieldDial is how long the side of a pair that does not dial by preference
 	// waits for the other side.
-	yieldDial = time.Second
+	yieldDelay = time.Second
 	// lonelyAfter is how long an agent waits without a connection before it dials.
-	lonelyAfter = 2 * time.Second
+	isolationTimeout = 2 * time.Second
 	// freshDials is how many peers a fresh agent dials at once, to learn which
 	// bundle is in force.
-	freshDials = 8
+	startupDials = 8
 )
 
 // target is a VM to keep a connection to.
@@ -51,7 +51,7 @@
 // dialLoop keeps connections to the targets.
 func (s *Service) dialLoop() {
 	if s.cfg.Self.Role == wire.RoleAgent {
-		s.dialWhenLonely()
+		s.dialWhenIsolated()
 		return
 	}
 	s.dialAll()
@@ -69,7 +69,7 @@
 			}
 			ctx, cancel := context.WithCancel(s.ctx)
 			keepers[t] = cancel
-			s.spawn(func() { s.keepLink(ctx, t) })
+			s.spawn(func() { s.maintainLink(ctx, t) })
 		}
 		for t, cancel := range keepers {
 			if !wanted[t] {
@@ -86,21 +86,21 @@
 }
 
 // keepLink connects to one target, and again whenever the connection ends.
-func (s *Service) keepLink(ctx context.Context, t target) {
-	wait := newBackoff()
-	yield := time.Duration(0)
+func (s *Service) maintainLink(ctx context.Context, t target) {
+	redialBackoff := newBackoff()
+	extraDelay := time.Duration(0)
 	if t.role == s.cfg.Self.Role && !prefersDial(s.cfg.VM, t.vm) {
-		yield = yieldDial
+		extraDelay = yieldDelay
 	}
-	pause := yield
+	delay := extraDelay
 	for {
-		if !sleepContext(ctx, pause) {
+		if !sleepContext(ctx, delay) {
 			return
 		}
 		if s.links.get(t.vm) == nil {
 			s.dial(ctx, t)
 		}
-		pause = wait.NextBackOff()
+		delay = redialBackoff.NextBackOff()
 		l := s.links.get(t.vm)
 		if l == nil {
 			continue
@@ -112,72 +112,72 @@
 		}
 		// A link that ended at once does not count as success, or a peer that
 		// hangs up after each hello would be dialled without end.
-		if s.cfg.Now().Sub(l.since) > slowestRedial {
-			wait.Reset()
-			pause = wait.NextBackOff()
+		if s.cfg.Now().Sub(l.since) > maxRedialDelay {
+			redialBackoff.Reset()
+			delay = redialBackoff.NextBackOff()
 		}
-		pause += yield
+		delay += extraDelay
 	}
 }
 
 // dial makes one attempt, once there is a place for it.
 func (s *Service) dial(ctx context.Context, t target) {
-	if !s.dials.enter(ctx) {
+	if !s.dials.acquire(ctx) {
 		return
 	}
 	if s.links.get(t.vm) != nil {
-		s.dials.leave()
+		s.dials.release()
 		return
 	}
 	s.stats.Dials.Add(1)
-	err := s.join(ctx, t)
+	err := s.connect(ctx, t)
 	if s.links.get(t.vm) != nil || ctx.Err() != nil {
 		return
 	}
 	s.stats.DialFailures.Add(1)
 	s.cfg.Log.Debug().Str("event", logCannotConnect).Err(err).Str("vm", t.vm).Str("address", t.address).Msg("cannot connect")
 	s.coreMu.Lock()
-	s.views.dialFailure(t.vm)
+	s.views.markDialFailed(t.vm)
 	s.coreMu.Unlock()
 	s.markDirty()
 }
 
 // join connects to a target and tells the gate how long it took. It gives back
 // the place that dial took.
-func (s *Service) join(ctx context.Context, t target) error {
+func (s *Service) connect(ctx context.Context, t target) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	leave := sync.OnceFunc(s.dials.leave)
-	defer leave()
-	patience := time.AfterFunc(connectPatience, leave)
+	release := sync.OnceFunc(s.dials.release)
+	defer release()
+	unconnectedTimer := time.AfterFunc(connectGrace, release)
 	conn, err := s.node.Connect(ctx, t.address)
-	patience.Stop()
+	unconnectedTimer.Stop()
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	_, err = s.node.Join(ctx, conn)
-	s.dials.ended(began, time.Now(), resultOf(err == nil, time.Since(began)))
+	_, err = s.node.Handshake(ctx, conn)
+	s.dials.record(began, time.Now(), classifyDial(err == nil, time.Since(began)))
 	return err
 }
 
 // dialWhenLonely connects an agent to peers when it starts and whenever none
 // has connected to it for a while, as when the entries read a list that does
 // not have it yet.
-func (s *Service) dialWhenLonely() {
+func (s *Service) dialWhenIsolated() {
 	for len(s.targets()) == 0 {
-		if !s.sleepUnless(lonelyAfter, s.dialWake) {
+		if !s.sleepOrWake(isolationTimeout, s.dialWake) {
 			return
 		}
 	}
-	s.dialAny(freshDials)
-	wait := newBackoff()
+	s.dialAny(startupDials)
+	redialBackoff := newBackoff()
 	for {
-		if !s.sleep(lonelyAfter + wait.NextBackOff()) {
+		if !s.sleep(isolationTimeout + redialBackoff.NextBackOff()) {
 			return
 		}
 		if s.links.count() > 0 {
-			wait.Reset()
+			redialBackoff.Reset()
 			continue
 		}
 		s.dialAny(1)
@@ -197,8 +197,8 @@
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstRedial
-	b.MaxInterval = slowestRedial
+	b.InitialInterval = minRedialDelay
+	b.MaxInterval = maxRedialDelay
 	return b
 }
 
--- a/member/dialgate_test.go
+++ b/member/dialgate_test.go
@@ -10,30 +10,30 @@
 )
 
 // dialBound is a policy of how many dials may be under way.
-type dialBound interface {
-	free() bool
-	started()
-	finished(began, now time.Time, result dialResult)
+type dialPolicy interface {
+	hasCapacity() bool
+	begin()
+	end(began, now time.Time, result dialResult)
 }
 
 // fixedBound is the naive counterpart of dialLimit.
-type fixedBound struct{ most, underWay int }
+type fixedLimit struct{ limit, inFlight int }
 
-func (f *fixedBound) free() bool                                { return f.underWay < f.most }
-func (f *fixedBound) started()                                  { f.underWay++ }
-func (f *fixedBound) finished(time.Time, time.Time, dialResult) { f.underWay-- }
+func (f *fixedLimit) hasCapacity() bool                    { return f.inFlight < f.limit }
+func (f *fixedLimit) begin()                               { f.inFlight++ }
+func (f *fixedLimit) end(time.Time, time.Time, dialResult) { f.inFlight-- }
 
-type followingBound struct{ dialLimit }
+type adaptiveLimit struct{ dialLimit }
 
-func (f *followingBound) started() { f.underWay++ }
-func (f *followingBound) finished(began, now time.Time, result dialResult) {
-	f.underWay--
-	f.ended(began, now, result)
+func (f *adaptiveLimit) begin() { f.inFlight++ }
+func (f *adaptiveLimit) end(began, now time.Time, result dialResult) {
+	f.inFlight--
+	f.record(began, now, result)
 }
 
 // startUp is a fleet that starts on one machine: each dialler joins as many
 // targets, and the machine divides its time evenly among all handshakes.
-type startUp struct {
+type startSimulation struct {
 	diallers, targets int
 	// work is the processor time of one handshake.
 	work time.Duration
@@ -48,25 +48,25 @@
 }
 
 // play returns the number of connections at the end of d, in virtual time.
-func (s startUp) play(d time.Duration, bound func() dialBound) (joined int, last time.Duration) {
+func (s startSimulation) run(d time.Duration, newPolicy func() dialPolicy) (joined int, last time.Duration) {
 	const step = 5 * time.Millisecond
-	bounds := make([]dialBound, s.diallers)
+	policies := make([]dialPolicy, s.diallers)
 	wanted := make([]int, s.diallers)
-	for i := range bounds {
-		bounds[i], wanted[i] = bound(), s.targets
+	for i := range policies {
+		policies[i], wanted[i] = newPolicy(), s.targets
 	}
 	var active []handshake
 	start := time.UnixMilli(1_764_700_000_000)
 	for now := start; now.Sub(start) < d; now = now.Add(step) {
-		for i := range bounds {
-			for wanted[i] > 0 && bounds[i].free() {
+		for i := range policies {
+			for wanted[i] > 0 && policies[i].hasCapacity() {
 				wanted[i]--
-				bounds[i].started()
+				policies[i].begin()
 				active = append(active, handshake{dialler: i, began: now, left: s.work})
 			}
 		}
 		share := step / time.Duration(max(1, len(active)+s.busy))
-		var still []handshake
+		var unfinished []handshake
 		for _, h := range active {
 			h.left -= share
 			took := now.Sub(h.began)
@@ -74,38 +74,38 @@
 			case h.left <= 0:
 				joined++
 				last = now.Sub(start)
-				bounds[h.dialler].finished(h.began, now, resultOf(true, took))
-			case took >= helloGivenUp:
+				policies[h.dialler].end(h.began, now, classifyDial(true, took))
+			case took >= handshakeTimeout:
 				wanted[h.dialler]++
-				bounds[h.dialler].finished(h.began, now, resultOf(false, took))
+				policies[h.dialler].end(h.began, now, classifyDial(false, took))
 			default:
-				still = append(still, h)
+				unfinished = append(unfinished, h)
 			}
 		}
-		active = still
+		active = unfinished
 	}
 	return joined, last
 }
 
 // helloGivenUp is when either side of a handshake gives it up.
-const helloGivenUp = 2 * time.Second
+const handshakeTimeout = 2 * time.Second
 
 // Guards against a fleet that starts beside load and never gets connected,
 // since handshakes that are given up crowd out those that would finish.
 func TestStartingFleetConverges(t *testing.T) {
-	fleet := startUp{diallers: 20, targets: 140, work: 3 * time.Millisecond, busy: 10}
-	naive, _ := fleet.play(time.Minute, func() dialBound { return &fixedBound{most: maxDials} })
+	fleet := startSimulation{diallers: 20, targets: 140, work: 3 * time.Millisecond, busy: 10}
+	naive, _ := fleet.run(time.Minute, func() dialPolicy { return &fixedLimit{limit: maxDials} })
 	assert.Equal(t, naive, 0, "the play is too easy")
-	joined, last := fleet.play(time.Minute, func() dialBound { return &followingBound{newDialLimit(maxDials)} })
+	joined, last := fleet.run(time.Minute, func() dialPolicy { return &adaptiveLimit{newDialLimit(maxDials)} })
 	t.Logf("all joined after %v", last)
 	assert.Equal(t, joined, 20*140)
 }
 
 // Guards against a quiet start that the limit makes slower.
 func TestQuietStartIsNotHeldUp(t *testing.T) {
-	fleet := startUp{diallers: 20, targets: 140, work: 200 * time.Microsecond}
-	_, naive := fleet.play(time.Minute, func() dialBound { return &fixedBound{most: maxDials} })
-	joined, last := fleet.play(time.Minute, func() dialBound { return &followingBound{newDialLimit(maxDials)} })
+	fleet := startSimulation{diallers: 20, targets: 140, work: 200 * time.Microsecond}
+	_, naive := fleet.run(time.Minute, func() dialPolicy { return &fixedLimit{limit: maxDials} })
+	joined, last := fleet.run(time.Minute, func() dialPolicy { return &adaptiveLimit{newDialLimit(maxDials)} })
 	t.Logf("all joined after %v, with a fixed bound after %v", last, naive)
 	assert.Equal(t, joined, 20*140)
 	assert.Assert(t, last <= naive+naive/4, "%v for %v", last, naive)
@@ -116,18 +116,18 @@
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 	l := newDialLimit(maxDials)
 	for range 2 * maxDials {
-		l.ended(began, at(1), dialJoined)
+		l.record(began, at(1), dialSucceeded)
 	}
 	assert.Equal(t, int(l.limit), maxDials)
-	l.ended(began, at(2000), dialCongested)
-	l.ended(at(10), at(2100), dialCongested)
+	l.record(began, at(2000), dialCongested)
+	l.record(at(10), at(2100), dialCongested)
 	assert.Equal(t, int(l.limit), maxDials/2, "dials of one congestion halve it once")
-	l.ended(at(2200), at(2300), dialUnconnected)
+	l.record(at(2200), at(2300), dialUnconnected)
 	assert.Equal(t, int(l.limit), maxDials/2, "a VM that is gone says nothing of load")
-	l.ended(at(2200), at(2300), dialJoined)
+	l.record(at(2200), at(2300), dialSucceeded)
 	assert.Equal(t, int(l.limit), maxDials/2, "it grows slowly from there")
 	for i := range 20 {
-		l.ended(at(3000+i*10), at(3001+i*10), dialCongested)
+		l.record(at(3000+i*10), at(3001+i*10), dialCongested)
 	}
 	assert.Equal(t, int(l.limit), 1)
 }
@@ -143,12 +143,12 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			if inside > 0 && rapid.Bool().Draw(t, "leave") {
 				inside--
-				g.leave()
+				g.release()
 				continue
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			entered := make(chan bool, 1)
-			go func() { entered <- g.enter(ctx) }()
+			go func() { entered <- g.acquire(ctx) }()
 			cancels, waits = append(cancels, cancel), append(waits, entered)
 			if rapid.Bool().Draw(t, "give up") {
 				cancel()
@@ -176,9 +176,9 @@
 			}
 		}
 		for range inside {
-			g.leave()
+			g.release()
 		}
-		assert.Equal(t, g.limit.underWay, 0)
+		assert.Equal(t, g.limit.inFlight, 0)
 		assert.Equal(t, len(g.queue), 0)
 	})
 }
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -130,12 +130,12 @@
 	draining atomic.Bool
 	// slept is how far the member's clock is ahead: a process that wakes from a
 	// pause sees its clock jump.
-	slept atomic.Int64
+	clockOffset atomic.Int64
 }
 
-func (m *testMember) now() time.Time { return time.Now().Add(time.Duration(m.slept.Load())) }
+func (m *testMember) now() time.Time { return time.Now().Add(time.Duration(m.clockOffset.Load())) }
 
-func (m *testMember) adoptions() []uint64 {
+func (m *testMember) adoptedVersions() []uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.versions)
@@ -143,7 +143,7 @@
 
 func (m *testMember) version() uint64 { return m.holder.Head().Version }
 
-func (m *testMember) leavings() []bool {
+func (m *testMember) leavingChanges() []bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.leaving)
@@ -262,7 +262,7 @@
 }
 
 // inForceWithin is the time in which a bundle is to be in force everywhere.
-const inForceWithin = 5 * time.Second
+const maxAdoptionTime = 5 * time.Second
 
 func (f *fleet) awaitVersion(version uint64, limit time.Duration) time.Duration {
 	f.t.Helper()
@@ -270,10 +270,10 @@
 		f.all(func(m *testMember) bool { return m.version() == version }))
 }
 
-func (f *fleet) assertNeverBack() {
+func (f *fleet) assertNoRollback() {
 	f.t.Helper()
 	for _, m := range f.members {
-		versions := m.adoptions()
+		versions := m.adoptedVersions()
 		assert.Assert(f.t, slices.IsSorted(versions), "%s went back: %v", m.cfg.VM, versions)
 	}
 }
--- a/member/links.go
+++ b/member/links.go
@@ -13,7 +13,7 @@
 	// crossWindow is the time within which two connections of one pair count
 	// as dialled at once by both sides. Later, a second one means that the
 	// other side has lost the first.
-	crossWindow = 2 * time.Second
+	simultaneousDialWindow = 2 * time.Second
 	// maxSuperseded is how many earlier incarnations of a VM's process are
 	// remembered, so that one that wakes from a pause does not come back.
 	maxSuperseded = 4
@@ -106,7 +106,7 @@
 	if old.process.Incarnation != hello.Process.Incarnation {
 		return true
 	}
-	if old.conn.Dialed() == conn.Dialed() || now.Sub(old.since) > crossWindow {
+	if old.conn.Dialed() == conn.Dialed() || now.Sub(old.since) > simultaneousDialWindow {
 		return true
 	}
 	return conn.Dialed() == prefersDial(l.self, helloVM(hello))
@@ -147,7 +147,7 @@
 	return l.byVM[vm]
 }
 
-func (l *links) of(conn *peer.Conn) *link {
+func (l *links) forConn(conn *peer.Conn) *link {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.byConn[conn]
--- a/member/lister.go
+++ b/member/lister.go
@@ -15,28 +15,28 @@
 	platformTimeout = confsvc.WholeReply
 	// startRate is how many processes a second of a fleet that starts or wakes
 	// as one read the list first, and as many the bundle.
-	startRate = 500
+	startupReadsPerSecond = 500
 )
 
 // firstDelay spreads the first reads of a fleet of that size.
-func firstDelay(fleet int) time.Duration {
-	return time.Duration(rand.Float64() * float64(fleet) * float64(time.Second) / startRate)
+func startupDelay(fleet int) time.Duration {
+	return time.Duration(rand.Float64() * float64(fleet) * float64(time.Second) / startupReadsPerSecond)
 }
 
 // listLoop follows the platform's list of VMs. A failed read keeps the last view.
 func (s *Service) listLoop() {
-	if !s.sleep(firstDelay(s.cfg.FleetSize)) {
+	if !s.sleep(startupDelay(s.cfg.FleetSize)) {
 		return
 	}
 	for {
 		s.readList()
-		s.spreadMu.Lock()
-		every := s.spread.listEvery()
-		s.spreadMu.Unlock()
-		if !s.sleepUnless(every, s.listWake) {
+		s.gossipMu.Lock()
+		interval := s.gossip.listInterval()
+		s.gossipMu.Unlock()
+		if !s.sleepOrWake(interval, s.listWake) {
 			return
 		}
-		if !s.listTried.Load() && !s.sleep(firstDelay(len(s.View().Members))) {
+		if !s.listTried.Load() && !s.sleep(startupDelay(len(s.View().Members))) {
 			return
 		}
 	}
@@ -66,26 +66,26 @@
 	}
 	var notes []wire.VMNote
 	if err == nil {
-		notes = s.views.list(s.cfg.Now(), vms)
+		notes = s.views.applyList(s.cfg.Now(), vms)
 	}
 	s.coreMu.Unlock()
 	if err == nil {
-		s.spreadMu.Lock()
-		becameWatcher := s.spread.list(vms)
-		s.spreadMu.Unlock()
+		s.gossipMu.Lock()
+		becameWatcher := s.gossip.applyList(vms)
+		s.gossipMu.Unlock()
 		if becameWatcher {
 			signal(s.bundleWake)
 		}
 	}
 	s.publish()
-	s.noteListTried(epoch)
+	s.markListTried(epoch)
 	s.sendVMNotes(notes)
 }
 
 // noteListTried makes the process ready as far as the list is concerned. It
 // follows the publication of the view: ready before it, a process that woke
 // would route by the view from before its pause.
-func (s *Service) noteListTried(epoch uint64) {
+func (s *Service) markListTried(epoch uint64) {
 	s.coreMu.Lock()
 	defer s.coreMu.Unlock()
 	if epoch == s.epoch {
--- a/member/notes.go
+++ b/member/notes.go
@@ -29,7 +29,7 @@
 	if report.Process != from.Peer().Process {
 		return
 	}
-	s.takeReport(report)
+	s.handleReport(report)
 }
 
 // exchange asks a peer for its hello, which carries its head and report.
@@ -51,13 +51,13 @@
 	if theirs.Process != l.process {
 		return
 	}
-	s.spreadDo(func(c *spreadCore) spreadEffects { return c.heard(s.cfg.Now(), vm, theirs.Bundle) })
+	s.updateGossip(func(c *gossipCore) gossipEffects { return c.headReceived(s.cfg.Now(), vm, theirs.Bundle) })
 	if theirs.Process.Role == wire.RoleAgent {
-		s.takeReport(theirs.Report)
+		s.handleReport(theirs.Report)
 	}
 }
 
-func (s *Service) takeReport(report wire.AgentReport) {
+func (s *Service) handleReport(report wire.AgentReport) {
 	s.Observe(report)
 	if s.cfg.OnReport != nil {
 		s.cfg.OnReport(report)
@@ -67,9 +67,9 @@
 // onVMNote takes in that a VM leaves and passes it on once.
 func (s *Service) onVMNote(_ *peer.Conn, note wire.VMNote) {
 	s.coreMu.Lock()
-	news := s.views.noted(&note)
+	changed := s.views.applyNote(&note)
 	s.coreMu.Unlock()
-	if !news {
+	if !changed {
 		return
 	}
 	s.markDirty()
@@ -78,9 +78,9 @@
 
 func (s *Service) sendVMNotes(notes []wire.VMNote) {
 	for _, note := range notes {
-		s.spreadMu.Lock()
-		targets := s.spread.noteTargets(note.VM)
-		s.spreadMu.Unlock()
+		s.gossipMu.Lock()
+		targets := s.gossip.noteTargets(note.VM)
+		s.gossipMu.Unlock()
 		for _, vm := range targets {
 			if l := s.links.get(vm); l != nil {
 				s.spawn(func() { _ = l.conn.Notify(wire.MethodVMNote, note) })
--- a/member/pause.go
+++ b/member/pause.go
@@ -37,7 +37,7 @@
 	s.coreMu.Lock()
 	s.listTried.Store(false)
 	s.epoch++
-	s.views.wake()
+	s.views.resetFreshness()
 	s.coreMu.Unlock()
 	s.cfg.Log.Warn().Str("event", logPaused).Dur("gap", gap).Msg("process was paused; reconnecting")
 	s.DropConnections()
--- a/member/pause_test.go
+++ b/member/pause_test.go
@@ -14,7 +14,7 @@
 
 // unserved is a method that no member has: its call is answered with an error,
 // which proves that it was written.
-const unserved = "test.unserved"
+const unservedMethod = "test.unserved"
 
 // An entry is stopped for seconds with callers' requests in its socket buffers.
 // When it wakes it hands them to agents before its next tick, or while it is
@@ -34,7 +34,7 @@
 
 	// Whoever deals with the pause needs this lock, and waits here.
 	entry.coreMu.Lock()
-	entry.slept.Store(int64(5 * time.Second))
+	entry.clockOffset.Store(int64(5 * time.Second))
 	early := call(t, old)
 	await(t, 5*time.Second, "pause noticed", func() bool { return entry.Stats().Wakes == 1 })
 	amid, stalled, ready := call(t, old), entry.Stalled(), entry.Ready()
@@ -55,7 +55,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	return conn.Call(ctx, unserved, struct{}{}, nil)
+	return conn.Call(ctx, unservedMethod, struct{}{}, nil)
 }
 
 // An entry wakes from a pause in which an endpoint's VM was listed as leaving. It
@@ -76,7 +76,7 @@
 		vms[1].State = confsvc.VMLeaving
 		return vms
 	})
-	entry.slept.Store(int64(5 * time.Second))
+	entry.clockOffset.Store(int64(5 * time.Second))
 	await(t, 5*time.Second, "list read and peers connected", func() bool {
 		entry.coreMu.Lock()
 		defer entry.coreMu.Unlock()
--- a/member/service.go
+++ b/member/service.go
@@ -29,8 +29,8 @@
 	// epoch grows with each detected pause; what was read in an earlier one is dropped.
 	epoch uint64
 
-	spreadMu sync.Mutex
-	spread   *spreadCore
+	gossipMu sync.Mutex
+	gossip   *gossipCore
 
 	// publishMu keeps an older view from taking the place of a newer one.
 	publishMu sync.Mutex
@@ -38,22 +38,22 @@
 	// offerMu orders offers, so that OnBundle sees adoptions in order.
 	offerMu sync.Mutex
 
-	view      atomic.Pointer[View]
-	listTried atomic.Bool
-	settled   atomic.Bool
+	view           atomic.Pointer[View]
+	listTried      atomic.Bool
+	collectionDone atomic.Bool
 	// inForce is set once OnBundle has returned for the first bundle.
-	inForce       atomic.Bool
+	bundleInForce atomic.Bool
 	platformTried atomic.Bool
 	wokeAt        atomic.Pointer[time.Time]
 	pauses        *pause.Watch
 
-	dirty      chan struct{}
-	spreadWake chan struct{}
-	listWake   chan struct{}
-	dialWake   chan struct{}
-	bundleWake chan struct{}
-	settleWake chan struct{}
-	fetchSlots chan struct{}
+	dirty       chan struct{}
+	gossipWake  chan struct{}
+	listWake    chan struct{}
+	dialWake    chan struct{}
+	bundleWake  chan struct{}
+	collectWake chan struct{}
+	fetchSlots  chan struct{}
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -67,18 +67,18 @@
 	cfg.setDefaults()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	s := &Service{
-		cfg:        cfg,
-		links:      newLinks(cfg.VM),
-		dials:      newDialGate(maxDials),
-		views:      newViewCore(cfg.VM),
-		spread:     newSpreadCore(cfg.VM, cfg.Self, cfg.FleetSize, rng),
-		dirty:      make(chan struct{}, 1),
-		spreadWake: make(chan struct{}, 1),
-		listWake:   make(chan struct{}, 1),
-		dialWake:   make(chan struct{}, 1),
-		bundleWake: make(chan struct{}, 1),
-		settleWake: make(chan struct{}, 1),
-		fetchSlots: make(chan struct{}, maxServedFetches),
+		cfg:         cfg,
+		links:       newLinks(cfg.VM),
+		dials:       newDialGate(maxDials),
+		views:       newViewCore(cfg.VM),
+		gossip:      newGossipCore(cfg.VM, cfg.Self, cfg.FleetSize, rng),
+		dirty:       make(chan struct{}, 1),
+		gossipWake:  make(chan struct{}, 1),
+		listWake:    make(chan struct{}, 1),
+		dialWake:    make(chan struct{}, 1),
+		bundleWake:  make(chan struct{}, 1),
+		collectWake: make(chan struct{}, 1),
+		fetchSlots:  make(chan struct{}, maxServedFetches),
 	}
 	s.pauses = pause.NewWatch(cfg.Now, s.onWake)
 	empty, _ := newView(cfg.Now(), time.Time{}, nil)
@@ -89,7 +89,7 @@
 	peer.HandleNote(cfg.Mux, wire.MethodRetireNote, s.onRetire)
 	peer.HandleCall(cfg.Mux, wire.MethodBundleFetch, s.serveFetch)
 	s.node = peer.NewNode(peer.Config{
-		TLS: cfg.TLS, Hello: s.hello, OnConnect: s.onConnect, OnClose: s.onClose, OnRefuse: s.onRefuse,
+		TLS: cfg.TLS, Hello: s.hello, OnConnect: s.onConnect, OnClose: s.onClose, OnHandshakeFailed: s.onHandshakeFailed,
 		Stalled: s.Stalled,
 	}, cfg.Mux)
 	return s
@@ -105,7 +105,7 @@
 		s.cancel()
 		return nil, err
 	}
-	loops := []func(){s.publishLoop, s.pauseLoop, s.listLoop, s.dialLoop, s.spreadLoop, s.platformLoop, s.settleLoop}
+	loops := []func(){s.publishLoop, s.pauseLoop, s.listLoop, s.dialLoop, s.gossipLoop, s.platformLoop, s.collectLoop}
 	for _, loop := range loops {
 		s.wg.Go(loop)
 	}
@@ -168,10 +168,10 @@
 // start. After a pause of the process it also waits for a peer to connect.
 func (s *Service) Ready() bool {
 	// Stalled comes first: once it is false, the rest tells of the time after the pause.
-	if s.Stalled() || !s.settled.Load() || !s.listTried.Load() {
+	if s.Stalled() || !s.collectionDone.Load() || !s.listTried.Load() {
 		return false
 	}
-	return s.inForce.Load() && s.reconnected()
+	return s.bundleInForce.Load() && s.reconnected()
 }
 
 func (s *Service) hello() wire.Hello {
@@ -205,7 +205,7 @@
 
 // publishEvery bounds how often the view is rebuilt; a fleet that connects at
 // once would otherwise cost a rebuild for each connection.
-const publishEvery = 5 * time.Millisecond
+const minPublishInterval = 5 * time.Millisecond
 
 func (s *Service) publishLoop() {
 	for {
@@ -215,7 +215,7 @@
 		case <-s.dirty:
 		}
 		s.publish()
-		if !s.sleep(publishEvery) {
+		if !s.sleep(minPublishInterval) {
 			return
 		}
 	}
@@ -228,7 +228,7 @@
 	s.coreMu.Lock()
 	view, events, claims := s.views.view(s.cfg.Now())
 	leaving := s.views.selfLeaving()
-	turned := leaving != s.leaving
+	leavingChanged := leaving != s.leaving
 	s.leaving = leaving
 	s.coreMu.Unlock()
 	s.view.Store(view)
@@ -242,7 +242,7 @@
 			Msg("endpoint is claimed by a second process; ignored")
 	}
 	signal(s.dialWake)
-	if turned && s.cfg.OnLeaving != nil {
+	if leavingChanged && s.cfg.OnLeaving != nil {
 		s.cfg.OnLeaving(leaving)
 	}
 }
@@ -269,7 +269,7 @@
 }
 
 // sleepUnless is sleep that also ends when wake is signalled.
-func (s *Service) sleepUnless(d time.Duration, wake <-chan struct{}) bool {
+func (s *Service) sleepOrWake(d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -19,14 +19,14 @@
 	f.start(2, 6)
 	f.awaitReady()
 	f.publish(2)
-	t.Logf("version 2 in force on 8 processes after %v", f.awaitVersion(2, inForceWithin))
+	t.Logf("version 2 in force on 8 processes after %v", f.awaitVersion(2, maxAdoptionTime))
 	for _, m := range f.members {
 		if m.cfg.Self.Role == wire.RoleEntry {
 			assert.Equal(t, len(m.Agents()), 6)
 			assert.Equal(t, len(m.View().Pool("catalogue")), 6)
 		}
 	}
-	f.assertNeverBack()
+	f.assertNoRollback()
 }
 
 // The configuration service cannot be reached from any process but one agent.
@@ -43,8 +43,8 @@
 	f.publish(2)
 	last := f.members[7]
 	last.offer(f.signed(2, "by an operator"), "test")
-	t.Logf("version 2 in force by peers after %v", f.awaitVersion(2, inForceWithin))
-	f.assertNeverBack()
+	t.Logf("version 2 in force by peers after %v", f.awaitVersion(2, maxAdoptionTime))
+	f.assertNoRollback()
 }
 
 // The fleet has version 2 in force; the configuration service falls back to
@@ -59,7 +59,7 @@
 			f.publish(2)
 			f.start(2, 3)
 			f.awaitReady()
-			f.awaitVersion(2, inForceWithin)
+			f.awaitVersion(2, maxAdoptionTime)
 			for _, m := range f.members {
 				m.access.stale.Store(&old)
 			}
@@ -67,8 +67,8 @@
 			a.stale.Store(&old)
 			fresh := f.add(role, a)
 			await(t, 10*time.Second, "fresh process ready", fresh.Ready)
-			assert.DeepEqual(t, fresh.adoptions(), []uint64{2})
-			f.assertNeverBack()
+			assert.DeepEqual(t, fresh.adoptedVersions(), []uint64{2})
+			f.assertNoRollback()
 		})
 	}
 }
@@ -90,7 +90,7 @@
 	reported := slices.ContainsFunc(f.members, func(m *testMember) bool { return m.holder.Conflict() != nil })
 	assert.Assert(t, reported)
 	f.publish(3)
-	f.awaitVersion(3, inForceWithin)
+	f.awaitVersion(3, maxAdoptionTime)
 }
 
 // The list shows an agent's VM as leaving, but only one entry can read the
@@ -116,10 +116,10 @@
 				return false
 			}
 		}
-		return len(agent.leavings()) == 1
+		return len(agent.leavingChanges()) == 1
 	})
 	t.Logf("known to the entries and to the agent after %v", took)
-	assert.DeepEqual(t, agent.leavings(), []bool{true})
+	assert.DeepEqual(t, agent.leavingChanges(), []bool{true})
 }
 
 func TestDrainingReportMeansLeaving(t *testing.T) {
--- a/member/settle.go
+++ b/member/settle.go
@@ -8,32 +8,32 @@
 
 const (
 	// settleLeast is how long a fresh process collects offers at the least.
-	settleLeast = 300 * time.Millisecond
+	minCollectTime = 300 * time.Millisecond
 	// settleWindow is how long it collects if some peers have not answered.
-	settleWindow = 1500 * time.Millisecond
+	collectWindow = 1500 * time.Millisecond
 	// settleLongest is how long it collects if no peer has answered although
 	// the list names peers, or could not be read.
-	settleLongest = 10 * time.Second
+	maxCollectTime = 10 * time.Second
 	// settleCheck is the cadence at which the conditions are looked at.
-	settleCheck = 50 * time.Millisecond
+	collectCheckInterval = 50 * time.Millisecond
 )
 
-// settleState is what a fresh process knows when it decides whether to put the
+// collectState is what a fresh process knows when it decides whether to put the
 // best offered bundle in force.
-type settleState struct {
+type collectState struct {
 	Elapsed time.Duration
 	// PlatformTried and ListTried tell that each was read or failed.
 	PlatformTried, ListTried bool
 	// ListRead tells that a list was read, and Named how many peers it names.
-	ListRead bool
-	Named    int
-	// Answered is the number of peers whose hello came.
-	Answered int
+	ListRead   bool
+	NamedPeers int
+	// AnsweredPeers is the number of peers whose hello came.
+	AnsweredPeers int
 	// Fetching is the number of bundles being fetched from peers.
 	Fetching int
 }
 
-// settles tells whether to stop collecting offers.
+// done tells whether to stop collecting offers.
 //
 // A fresh process may read an old bundle from a stale configuration service
 // while its peers serve a newer one. It shows as a version lower than the
@@ -42,52 +42,52 @@
 // settleLongest no up-to-date peer can be reached and the service is stale,
 // the process starts under the old bundle. It moves on with the first peer
 // that it meets, and its requests carry the old version in their records.
-func (st *settleState) settles() bool {
+func (st *collectState) done() bool {
 	switch {
-	case st.Elapsed >= settleLongest:
+	case st.Elapsed >= maxCollectTime:
 		return true
 	case !st.PlatformTried || !st.ListTried || st.Fetching > 0:
 		return false
-	case st.Elapsed < settleLeast:
+	case st.Elapsed < minCollectTime:
 		return false
-	case st.ListRead && st.Answered >= st.Named:
+	case st.ListRead && st.AnsweredPeers >= st.NamedPeers:
 		return true
-	case st.Answered == 0:
+	case st.AnsweredPeers == 0:
 		return false
 	}
-	return st.Elapsed >= settleWindow
+	return st.Elapsed >= collectWindow
 }
 
-// settleLoop ends the collection of offers of a fresh process.
-func (s *Service) settleLoop() {
+// collectLoop ends the collection of offers of a fresh process.
+func (s *Service) collectLoop() {
 	started := time.Now()
 	for {
-		state := s.settleState(time.Since(started))
-		if state.settles() {
+		state := s.collectState(time.Since(started))
+		if state.done() {
 			break
 		}
-		if !s.sleepUnless(settleCheck, s.settleWake) {
+		if !s.sleepOrWake(collectCheckInterval, s.collectWake) {
 			return
 		}
 	}
 	s.offerMu.Lock()
 	defer s.offerMu.Unlock()
-	s.settled.Store(true)
-	s.settleHeld()
+	s.collectionDone.Store(true)
+	s.adoptCollected()
 }
 
-func (s *Service) settleState(elapsed time.Duration) settleState {
-	st := settleState{
+func (s *Service) collectState(elapsed time.Duration) collectState {
+	st := collectState{
 		Elapsed:       elapsed,
 		PlatformTried: s.platformTried.Load(),
 		ListTried:     s.listTried.Load(),
 		ListRead:      !s.View().ListedAt.IsZero(),
-		Named:         s.namedPeers(),
-		Answered:      s.links.count(),
+		NamedPeers:    s.namedPeers(),
+		AnsweredPeers: s.links.count(),
 	}
-	s.spreadMu.Lock()
-	st.Fetching = len(s.spread.fetching)
-	s.spreadMu.Unlock()
+	s.gossipMu.Lock()
+	st.Fetching = len(s.gossip.fetching)
+	s.gossipMu.Unlock()
 	return st
 }
 
@@ -95,7 +95,7 @@
 func (s *Service) namedPeers() int {
 	named := len(s.targets())
 	if s.cfg.Self.Role == wire.RoleAgent {
-		return min(named, freshDials)
+		return min(named, startupDials)
 	}
 	return named
 }
--- a/member/source_test.go
+++ b/member/source_test.go
@@ -18,13 +18,13 @@
 func TestHalfWrittenValueIsReadAgain(t *testing.T) {
 	f := newFleet(t)
 	holder := bundle.NewHolder([]ed25519.PublicKey{f.pub})
-	src := &source{
-		s:    New(Config{Self: wire.Process{Name: "entry-1", Role: wire.RoleEntry}, Holder: holder}),
-		wait: backoff.NewExponentialBackOff(),
+	src := &bundleSource{
+		s:            New(Config{Self: wire.Process{Name: "entry-1", Role: wire.RoleEntry}, Holder: holder}),
+		retryBackoff: backoff.NewExponentialBackOff(),
 	}
-	src.s.settled.Store(true)
+	src.s.collectionDone.Store(true)
 	read := func(revision uint64, data []byte) {
-		src.take(confsvc.Value{Name: confsvc.ValueBundle, Revision: revision, Data: data}, nil)
+		src.handleResult(confsvc.Value{Name: confsvc.ValueBundle, Revision: revision, Data: data}, nil)
 	}
 	read(1, f.signed(1, "first"))
 	assert.Equal(t, holder.Head().Version, uint64(1))
--- a/member/stats.go
+++ b/member/stats.go
@@ -58,7 +58,7 @@
 	st, traffic := &s.stats, &s.node.Traffic
 	return StatsSnapshot{
 		ListCalls:        st.ListCalls.Load(),
-		DialLimit:        s.dials.size(),
+		DialLimit:        s.dials.currentLimit(),
 		ReadCalls:        st.ReadCalls.Load(),
 		WatchCalls:       st.WatchCalls.Load(),
 		PlatformFailures: st.PlatformFailures.Load(),
--- a/member/view.go
+++ b/member/view.go
@@ -97,15 +97,15 @@
 		byVM:       make(map[string]int, len(members)),
 		byEndpoint: make(map[string]int, len(members)),
 	}
-	var lost []Claim
+	var ignored []Claim
 	for i := range members {
 		v.byVM[members[i].VM.Name] = i
 		endpoint := members[i].VM.Endpoint
 		if endpoint == "" {
 			continue
 		}
-		owner, taken := v.byEndpoint[endpoint]
-		if !taken {
+		owner, claimed := v.byEndpoint[endpoint]
+		if !claimed {
 			v.byEndpoint[endpoint] = i
 			continue
 		}
@@ -114,9 +114,9 @@
 			v.byEndpoint[endpoint] = i
 			loser = owner
 		}
-		lost = append(lost, Claim{Endpoint: endpoint, VM: members[loser].VM.Name})
+		ignored = append(ignored, Claim{Endpoint: endpoint, VM: members[loser].VM.Name})
 	}
-	return v, lost
+	return v, ignored
 }
 
 // Claim is an endpoint claimed by a VM that does not own it.
--- a/member/viewcore.go
+++ b/member/viewcore.go
@@ -14,20 +14,20 @@
 	// revision, so an old copy that still says live looks like a newer one.
 	// What remains: a list that stays older than the leaving for longer than
 	// this brings the VM back, unless its own process says that it drains.
-	leavingHold = 2 * time.Minute
+	leavingHoldTime = 2 * time.Minute
 	// absentHold is how long a VM is kept, and dialled, that is neither listed
 	// nor connected. A stale list may predate the VM.
-	absentHold = 30 * time.Second
+	absentRetention = 30 * time.Second
 )
 
 // viewCore makes a View of lists, connections and reports. It does no I/O;
 // its caller serialises the calls.
 type viewCore struct {
-	self      string
-	members   map[string]*memberState
-	byProcess map[wire.Process]*memberState
-	listedAt  time.Time
-	lost      map[Claim]bool
+	self          string
+	members       map[string]*memberState
+	byProcess     map[wire.Process]*memberState
+	listedAt      time.Time
+	ignoredClaims map[Claim]bool
 }
 
 // memberState is what is known of one VM.
@@ -35,15 +35,15 @@
 	vm     confsvc.VM
 	listed bool
 	// goneAt is when the VM was last listed or connected, while it is neither.
-	goneAt time.Time
+	missingSince time.Time
 	// leaving is sticky; liveSince is the start of the unbroken run of lists
 	// that say live after it.
 	leaving       bool
 	leavingReason string
 	// leavingRun is the incarnation that was known when the VM began to leave;
 	// empty if none was.
-	leavingRun string
-	liveSince  time.Time
+	leavingIncarnation string
+	liveSince          time.Time
 
 	connected  bool
 	dialFailed bool
@@ -51,15 +51,15 @@
 	report     wire.AgentReport
 	reportedAt time.Time
 
-	announced State
+	publishedState State
 }
 
 func newViewCore(self string) *viewCore {
 	return &viewCore{
-		self:      self,
-		members:   make(map[string]*memberState),
-		byProcess: make(map[wire.Process]*memberState),
-		lost:      make(map[Claim]bool),
+		self:          self,
+		members:       make(map[string]*memberState),
+		byProcess:     make(map[wire.Process]*memberState),
+		ignoredClaims: make(map[Claim]bool),
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // list takes in a list that was read at now and returns the VMs that it newly
 // shows as leaving.
-func (c *viewCore) list(now time.Time, vms []confsvc.VM) []wire.VMNote {
+func (c *viewCore) applyList(now time.Time, vms []confsvc.VM) []wire.VMNote {
 	c.listedAt = now
 	var notes []wire.VMNote
 	seen := make(map[string]bool, len(vms))
@@ -83,35 +83,35 @@
 			continue
 		}
 		seen[vm.Name] = true
-		if c.listOne(now, vm) {
+		if c.applyListEntry(now, vm) {
 			notes = append(notes, wire.VMNote{VM: vm.Name, Process: c.members[vm.Name].process})
 		}
 	}
 	for name, m := range c.members {
 		if !seen[name] {
-			c.absent(now, name, m)
+			c.markAbsent(now, name, m)
 		}
 	}
 	return notes
 }
 
 // listOne takes in one line and tells whether the VM newly leaves.
-func (c *viewCore) listOne(now time.Time, vm confsvc.VM) bool {
+func (c *viewCore) applyListEntry(now time.Time, vm confsvc.VM) bool {
 	m := c.member(vm.Name)
 	if m.vm.Address != vm.Address {
 		m.dialFailed = false
 	}
 	m.vm = vm
 	m.listed = true
-	m.goneAt = time.Time{}
+	m.missingSince = time.Time{}
 	if vm.State == confsvc.VMLeaving {
-		return m.leave("listed as leaving")
+		return m.markLeaving("listed as leaving")
 	}
 	if m.leaving && m.liveSince.IsZero() {
 		m.liveSince = now
 	}
-	if m.leaving && (m.replaced() || now.Sub(m.liveSince) >= leavingHold) {
-		m.stay()
+	if m.leaving && (m.replaced() || now.Sub(m.liveSince) >= leavingHoldTime) {
+		m.clearLeaving()
 	}
 	return false
 }
@@ -119,52 +119,52 @@
 // replaced tells whether a VM that was leaving has been replaced by one of the
 // same name: another run of its process is connected, and the list says live.
 func (m *memberState) replaced() bool {
-	otherRun := m.leavingRun != "" && m.leavingRun != m.process.Incarnation
+	otherRun := m.leavingIncarnation != "" && m.leavingIncarnation != m.process.Incarnation
 	return m.connected && otherRun && m.listed && m.vm.State == confsvc.VMLive
 }
 
-func (m *memberState) stay() {
+func (m *memberState) clearLeaving() {
 	m.leaving = false
 	m.liveSince = time.Time{}
 }
 
 // leave marks a VM as leaving and tells whether it was not before.
-func (m *memberState) leave(reason string) bool {
-	fresh := !m.leaving
-	if fresh {
+func (m *memberState) markLeaving(reason string) bool {
+	changed := !m.leaving
+	if changed {
 		m.leavingReason = reason
-		m.leavingRun = m.process.Incarnation
+		m.leavingIncarnation = m.process.Incarnation
 	}
 	m.leaving = true
 	m.liveSince = time.Time{}
-	return fresh
+	return changed
 }
 
 // noted takes in a peer's note and tells whether it was news. A note about
 // another incarnation than the one known here is about a VM that had this name
 // before.
-func (c *viewCore) noted(note *wire.VMNote) bool {
+func (c *viewCore) applyNote(note *wire.VMNote) bool {
 	m, ok := c.members[note.VM]
 	if !ok {
 		return false
 	}
-	known := m.process.Incarnation != "" && note.Process.Incarnation != ""
-	if known && m.process.Incarnation != note.Process.Incarnation {
+	bothKnown := m.process.Incarnation != "" && note.Process.Incarnation != ""
+	if bothKnown && m.process.Incarnation != note.Process.Incarnation {
 		return false
 	}
-	return m.leave("a peer read it as leaving")
+	return m.markLeaving("a peer read it as leaving")
 }
 
-func (c *viewCore) absent(now time.Time, name string, m *memberState) {
+func (c *viewCore) markAbsent(now time.Time, name string, m *memberState) {
 	m.listed = false
 	m.liveSince = time.Time{}
 	if m.connected {
 		return
 	}
-	if m.goneAt.IsZero() {
-		m.goneAt = now
+	if m.missingSince.IsZero() {
+		m.missingSince = now
 	}
-	if now.Sub(m.goneAt) >= absentHold {
+	if now.Sub(m.missingSince) >= absentRetention {
 		delete(c.members, name)
 		delete(c.byProcess, m.process)
 	}
@@ -175,7 +175,7 @@
 	m := c.member(vm)
 	m.connected = true
 	m.dialFailed = false
-	m.goneAt = time.Time{}
+	m.missingSince = time.Time{}
 	if m.process != hello.Process {
 		delete(c.byProcess, m.process)
 		c.byProcess[hello.Process] = m
@@ -184,7 +184,7 @@
 		m.reportedAt = time.Time{}
 	}
 	if m.leaving && m.replaced() {
-		m.stay()
+		m.clearLeaving()
 	}
 	if !m.listed {
 		m.vm.Role = hello.Process.Role
@@ -193,7 +193,7 @@
 		m.vm.Pool = hello.Report.Pool
 	}
 	if hello.Process.Role == wire.RoleAgent {
-		c.reported(now, m, hello.Report)
+		c.applyReport(now, m, hello.Report)
 	}
 }
 
@@ -205,12 +205,12 @@
 	}
 	m.connected = false
 	if !m.listed {
-		m.goneAt = now
+		m.missingSince = now
 	}
 }
 
 // dialFailure marks a VM that could not be connected to.
-func (c *viewCore) dialFailure(vm string) {
+func (c *viewCore) markDialFailed(vm string) {
 	if m, ok := c.members[vm]; ok && !m.connected {
 		m.dialFailed = true
 	}
@@ -223,11 +223,11 @@
 		return false
 	}
 	draining := m.report.Draining
-	c.reported(now, m, *report)
+	c.applyReport(now, m, *report)
 	return m.report.Draining != draining
 }
 
-func (c *viewCore) reported(now time.Time, m *memberState, report wire.AgentReport) {
+func (c *viewCore) applyReport(now time.Time, m *memberState, report wire.AgentReport) {
 	if report.Process != m.process {
 		return
 	}
@@ -239,7 +239,7 @@
 }
 
 // wake forgets how fresh the list is; the process was paused.
-func (c *viewCore) wake() {
+func (c *viewCore) resetFreshness() {
 	c.listedAt = time.Time{}
 	for _, m := range c.members {
 		m.liveSince = time.Time{}
@@ -272,8 +272,8 @@
 	members := make([]Member, 0, len(c.members))
 	for _, m := range c.members {
 		state, reason := m.state()
-		if state != m.announced {
-			m.announced = state
+		if state != m.publishedState {
+			m.publishedState = state
 			events = append(events, memberEvent(&m.vm, state, reason))
 		}
 		members = append(members, Member{
@@ -281,16 +281,16 @@
 			Process: m.process, Report: m.report, ReportedAt: m.reportedAt,
 		})
 	}
-	v, lost := newView(now, c.listedAt, members)
-	return v, events, c.newlyLost(lost)
+	v, ignored := newView(now, c.listedAt, members)
+	return v, events, c.newlyIgnored(ignored)
 }
 
-func (c *viewCore) newlyLost(lost []Claim) []Claim {
-	known := c.lost
-	c.lost = make(map[Claim]bool, len(lost))
+func (c *viewCore) newlyIgnored(ignored []Claim) []Claim {
+	known := c.ignoredClaims
+	c.ignoredClaims = make(map[Claim]bool, len(ignored))
 	var fresh []Claim
-	for _, claim := range lost {
-		c.lost[claim] = true
+	for _, claim := range ignored {
+		c.ignoredClaims[claim] = true
 		if !known[claim] {
 			fresh = append(fresh, claim)
 		}
--- a/peer/close_test.go
+++ b/peer/close_test.go
@@ -13,9 +13,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// A process stops while it connects to a peer that has just introduced itself.
-// Close waits for the connections that it knows; a dial that ends later must
-// neither be counted with those that are waited for, nor leave a connection open.
+// Guards against a dial that finishes after Close has begun: it must not be added
+// to the wait group on which Close waits, and must not leave a connection open.
 func TestDialThatEndsAfterClose(t *testing.T) {
 	const slowDial = 50 * time.Millisecond
 	server := testNode(t, "server", NewMux())
--- a/peer/closed_test.go
+++ b/peer/closed_test.go
@@ -27,8 +27,8 @@
 	return near, far
 }
 
-// Guards against a call that is written to a connection whose end has arrived
-// and was not read yet: its caller would be told that it may have run.
+// Guards against writing a call to a connection that the peer has closed, before
+// the close has been read: the caller would be told that the call may have run.
 func TestNothingIsWrittenAfterThePeerClosed(t *testing.T) {
 	near, far := socketPair(t)
 	plain := newStream(near, new(Traffic))
@@ -44,7 +44,8 @@
 	assert.Assert(t, errorx.IsOfType(err, ErrNotWritten), "%v", err)
 }
 
-// Guards against a closed connection that is not seen behind answers that nobody has read yet.
+// Guards against missing the close of a connection because unread replies precede
+// it in the receive buffer.
 func TestCloseIsSeenBehindUnreadAnswers(t *testing.T) {
 	near, far := socketPair(t)
 	s := newStream(near, new(Traffic))
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -7,9 +7,10 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// writeError sorts an error of the sending half. The library reports a
-// connection that was closed beforehand as ErrClosed without writing.
-func writeError(err error, method string) error {
+// classifyWriteError returns an error of DispatchCall or Notify as ErrNotWritten
+// or ErrLost. The library returns ErrClosed, without writing, for a connection
+// that was already closed.
+func classifyWriteError(err error, method string) error {
 	if errorx.IsOfType(err, ErrNotWritten) {
 		return err
 	}
@@ -19,8 +20,9 @@
 	return ErrLost.Wrap(err, "%s", method)
 }
 
-// waitError sorts an error of the waiting half, after the message was written.
-func waitError(err error, method string) error {
+// classifyWaitError returns an error that occurred after the message was
+// written, while waiting for the reply, as ErrRemote or ErrLost.
+func classifyWaitError(err error, method string) error {
 	var remote *jsonrpc2.Error
 	if errors.As(err, &remote) {
 		return ErrRemote.Wrap(err, "%s", method)
@@ -28,8 +30,9 @@
 	return ErrLost.Wrap(err, "%s", method)
 }
 
-// discard drops the library's own log lines; the node's owner logs what matters.
-type discard struct{}
+// discardLogger drops the log lines of the jsonrpc2 library. The node's callbacks
+// and returned errors report failures instead.
+type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (discard) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -10,11 +10,11 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// fuzzBound is far above what one message may take to be handled.
-const fuzzBound = 5 * time.Second
+// fuzzTimeout is far longer than the handling of one input takes.
+const fuzzTimeout = 5 * time.Second
 
-// FuzzMessages feeds raw bytes to an open connection. Whatever comes, the
-// process must neither panic nor hold the connection's goroutines for ever.
+// FuzzMessages feeds raw bytes to an open connection. For every input the process
+// must not panic, and the connection must end once the other side has closed it.
 func FuzzMessages(f *testing.F) {
 	hello := `{"jsonrpc":"2.0","id":1,"method":"peer.hello","params":"{\"process\":{\"name\":\"a\",\"incarnation\":\"b\"}}"}`
 	run := `{"jsonrpc":"2.0","id":2,"method":"stage.run","params":"{\"id\":{\"request\":\"r\",\"stage\":\"s\"}}"}`
@@ -31,14 +31,14 @@
 	node := NewNode(Config{Hello: func() wire.Hello { return wire.Hello{} }}, mux)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ours, theirs := net.Pipe()
-		c := node.open(theirs)
+		c := node.newConn(theirs)
 		go drain(ours)
-		_ = ours.SetWriteDeadline(time.Now().Add(fuzzBound))
+		_ = ours.SetWriteDeadline(time.Now().Add(fuzzTimeout))
 		_, _ = ours.Write(data)
 		_ = ours.Close()
 		select {
 		case <-c.Done():
-		case <-time.After(fuzzBound):
+		case <-time.After(fuzzTimeout):
 			t.Fatal("the connection did not end")
 		}
 	})
--- a/peer/mux.go
+++ b/peer/mux.go
@@ -9,39 +9,40 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-type callHandler func(ctx context.Context, from *Conn, params json.RawMessage) (any, error)
+type requestHandler func(ctx context.Context, from *Conn, params json.RawMessage) (any, error)
 
-type noteHandler func(from *Conn, params json.RawMessage) error
+type notificationHandler func(from *Conn, params json.RawMessage) error
 
-// Mux maps method names to typed handlers. It is filled before the node starts.
+// Mux maps method names to typed handlers. All handlers must be registered
+// before the node starts.
 type Mux struct {
-	calls map[string]callHandler
-	notes map[string]noteHandler
+	calls         map[string]requestHandler
+	notifications map[string]notificationHandler
 }
 
 // NewMux returns an empty Mux.
 func NewMux() *Mux {
-	return &Mux{calls: make(map[string]callHandler), notes: make(map[string]noteHandler)}
+	return &Mux{calls: make(map[string]requestHandler), notifications: make(map[string]notificationHandler)}
 }
 
-// HandleCall registers fn for a method that has a reply. Each call runs in a
-// goroutine of its own; its context ends with the connection.
+// HandleCall registers fn for a method that has a reply. Each call runs in its
+// own goroutine, with a context that is cancelled when the connection ends.
 func HandleCall[P, R any](m *Mux, method string, fn func(ctx context.Context, from *Conn, params P) (R, error)) {
 	m.calls[method] = func(ctx context.Context, from *Conn, raw json.RawMessage) (any, error) {
 		var params P
-		if err := decode(raw, &params); err != nil {
+		if err := decodeVerbatim(raw, &params); err != nil {
 			return nil, ErrMalformed.Wrap(err, "%s", method)
 		}
 		return fn(ctx, from, params)
 	}
 }
 
-// HandleNote registers fn for a notification. Notifications of one connection
-// run in order, in its read loop, so fn must not block.
+// HandleNote registers fn for a notification. The read loop of a connection runs
+// the handlers of its notifications in order, so fn must not block.
 func HandleNote[P any](m *Mux, method string, fn func(from *Conn, params P)) {
-	m.notes[method] = func(from *Conn, raw json.RawMessage) error {
+	m.notifications[method] = func(from *Conn, raw json.RawMessage) error {
 		var params P
-		if err := decode(raw, &params); err != nil {
+		if err := decodeVerbatim(raw, &params); err != nil {
 			return ErrMalformed.Wrap(err, "%s", method)
 		}
 		fn(from, params)
@@ -51,20 +52,20 @@
 
 // Handle dispatches one request of c; it implements jsonrpc2.Handler.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
-	<-c.opened
+	<-c.ready
 	var raw json.RawMessage
 	if req.Params != nil {
 		raw = *req.Params
 	}
 	if req.Notif {
-		c.handleNote(req.Method, raw)
+		c.handleNotification(req.Method, raw)
 		return
 	}
 	go c.handleCall(ctx, req, raw)
 }
 
-func (c *Conn) handleNote(method string, raw json.RawMessage) {
-	handler, ok := c.node.mux.notes[method]
+func (c *Conn) handleNotification(method string, raw json.RawMessage) {
+	handler, ok := c.node.mux.notifications[method]
 	if !ok || !c.authenticated.Load() {
 		c.node.Traffic.Rejected.Add(1)
 		return
@@ -84,7 +85,7 @@
 		_ = c.rpc.ReplyWithError(ctx, req.ID, rpcErr)
 		return
 	}
-	text, err := verbatim(result)
+	text, err := encodeVerbatim(result)
 	if err != nil {
 		rpcErr := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
 		_ = c.rpc.ReplyWithError(ctx, req.ID, rpcErr)
--- a/peer/node.go
+++ b/peer/node.go
@@ -1,6 +1,6 @@
-// Package peer connects the product's own processes by jsonrpc2 over TCP,
-// usually with mutual TLS. It never sends a message twice and tells apart
-// calls that were not written from calls whose fate is unknown.
+// Package peer connects the processes of a fleet by JSON-RPC 2.0 over TCP,
+// usually with mutual TLS. It never sends a message twice, and its errors
+// distinguish calls that were not written from calls whose outcome is unknown.
 package peer
 
 import (
@@ -25,39 +25,45 @@
 	ErrNotWritten = errs.NewType("not_written")
 	// ErrLost means that the message was, or may have been, written and no reply came.
 	ErrLost = errs.NewType("lost")
-	// ErrMalformed means that a message broke the protocol.
+	// ErrMalformed means that a message violates the protocol.
 	ErrMalformed = errs.NewType("malformed")
 	// ErrRemote means that the peer answered with an error.
 	ErrRemote = errs.NewType("remote")
 )
 
 const (
-	helloMethod  = wire.MethodHello
+	helloMethod = wire.MethodHello
+	// helloTimeout bounds each of the TCP connect, the TLS handshake and the hello.
 	helloTimeout = 2 * time.Second
-	// keepAlive bounds how long a connection to a vanished VM looks alive.
-	keepAlive = 5 * time.Second
+	// keepAlivePeriod is the TCP keep-alive period of dialled connections. It
+	// bounds how long a connection to a vanished VM looks alive.
+	keepAlivePeriod = 5 * time.Second
 )
 
-// Config is what a node is made of.
+// Config configures a Node. OnConnect, OnClose, OnHandshakeFailed and Stalled may be nil.
 type Config struct {
-	// TLS is the base of both server and client configuration; nil means plain TCP.
+	// TLS is used for accepted and for dialled connections; nil means plain TCP.
 	TLS *tls.Config
-	// Dial opens plain connections; nil means one without further time limits.
+	// Dial opens outgoing connections, which are used without TLS. Nil means a
+	// TCP dialer, with TLS on top if TLS is set.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Hello returns what this process says of itself at the start of a connection.
+	// Hello returns the description of this process that is exchanged at the
+	// start of a connection.
 	Hello func() wire.Hello
 	// OnConnect and OnClose are called once for each authenticated connection.
 	OnConnect func(*Conn)
 	OnClose   func(*Conn)
-	// OnRefuse is called for each incoming connection whose TLS handshake failed.
-	OnRefuse func(from net.Addr, err error)
-	// Stalled tells whether this process was paused and has not dealt with it
-	// yet; no call is written then. It is asked before each call; nil means never.
+	// OnHandshakeFailed is called for each incoming connection whose TLS handshake failed.
+	OnHandshakeFailed func(from net.Addr, err error)
+	// Stalled reports whether this process was paused and has not yet recovered
+	// from the pause; while it returns true no call is written. It runs before
+	// each call; nil means never stalled.
 	Stalled func() bool
 }
 
-// Node is this process's end of all its connections.
+// Node holds all peer connections of this process.
 type Node struct {
+	// Traffic has the counters of all connections.
 	Traffic Traffic
 
 	cfg      Config
@@ -67,12 +73,12 @@
 	listener net.Listener
 	closed   bool
 	wg       sync.WaitGroup
-	// ctx ends with Close; it bounds handshakes.
+	// ctx is cancelled by Close; it bounds the TLS handshakes of accepted connections.
 	ctx  context.Context
 	stop context.CancelFunc
 }
 
-// NewNode returns a node that serves the methods of mux.
+// NewNode returns a node that serves the methods of mux, to which it adds hello.
 func NewNode(cfg Config, mux *Mux) *Node {
 	n := &Node{cfg: cfg, mux: mux, conns: make(map[*Conn]struct{})}
 	n.ctx, n.stop = context.WithCancel(context.Background())
@@ -82,14 +88,19 @@
 
 // Conn is one connection to a peer, used in both directions.
 type Conn struct {
-	node          *Node
-	rpc           *jsonrpc2.Conn
-	opened        chan struct{}
-	remote        net.Addr
-	dialed        atomic.Bool
+	node *Node
+	rpc  *jsonrpc2.Conn
+	// ready is closed once rpc is set.
+	ready  chan struct{}
+	remote net.Addr
+	// dialed means that this process dialled the connection.
+	dialed atomic.Bool
+	// authenticated means that the hello of the peer has been received.
 	authenticated atomic.Bool
-	hello         atomic.Pointer[wire.Hello]
-	// dropped is set before the connection is closed by DropAll.
+	// hello is the latest hello of the peer; nil before the first.
+	hello atomic.Pointer[wire.Hello]
+	// dropped means that DropAll is closing the connection; no call is written
+	// from then on.
 	dropped atomic.Bool
 }
 
@@ -107,11 +118,11 @@
 	n.listener = listener
 	n.mu.Unlock()
 	n.wg.Add(1)
-	go n.accept(listener)
+	go n.acceptLoop(listener)
 	return bound, nil
 }
 
-func (n *Node) accept(listener net.Listener) {
+func (n *Node) acceptLoop(listener net.Listener) {
 	defer n.wg.Done()
 	for {
 		conn, err := listener.Accept()
@@ -119,25 +130,27 @@
 			return
 		}
 		n.wg.Add(1)
-		go n.admit(conn)
+		go n.handleAccepted(conn)
 	}
 }
 
-// admit makes a connection of an accepted one whose other side proves itself.
-// The handshake is made here, and not with the first message, so that a
-// stranger is counted and told of, and never reaches the message loop.
-func (n *Node) admit(conn net.Conn) {
+// handleAccepted runs the TLS handshake of an accepted connection and starts its
+// read loop. It closes the connection if no hello arrives within helloTimeout.
+// The handshake runs here, and not with the first message, so that a client
+// without a valid certificate is counted, is reported to the node's owner, and
+// never reaches the read loop.
+func (n *Node) handleAccepted(conn net.Conn) {
 	defer n.wg.Done()
 	if secure, ok := conn.(*tls.Conn); ok {
 		ctx, cancel := context.WithTimeout(n.ctx, helloTimeout)
 		err := secure.HandshakeContext(ctx)
 		cancel()
 		if err != nil {
-			n.refuse(conn, err)
+			n.rejectHandshake(conn, err)
 			return
 		}
 	}
-	c := n.open(conn)
+	c := n.newConn(conn)
 	time.AfterFunc(helloTimeout, func() {
 		if !c.authenticated.Load() {
 			c.Close()
@@ -145,34 +158,34 @@
 	})
 }
 
-func (n *Node) refuse(conn net.Conn, err error) {
+func (n *Node) rejectHandshake(conn net.Conn, err error) {
 	_ = conn.Close()
 	if n.ctx.Err() != nil {
 		return
 	}
 	n.Traffic.HandshakesRefused.Add(1)
-	if n.cfg.OnRefuse != nil {
-		n.cfg.OnRefuse(conn.RemoteAddr(), err)
+	if n.cfg.OnHandshakeFailed != nil {
+		n.cfg.OnHandshakeFailed(conn.RemoteAddr(), err)
 	}
 }
 
-func (n *Node) open(conn net.Conn) *Conn {
-	c := &Conn{node: n, remote: conn.RemoteAddr(), opened: make(chan struct{})}
-	// The read loop starts inside NewConn, before c.rpc is assigned; Handle
-	// waits for opened so that no handler meets a Conn without it.
-	c.rpc = jsonrpc2.NewConn(context.Background(), newStream(conn, &n.Traffic), c, jsonrpc2.SetLogger(discard{}))
-	close(c.opened)
+func (n *Node) newConn(conn net.Conn) *Conn {
+	c := &Conn{node: n, remote: conn.RemoteAddr(), ready: make(chan struct{})}
+	// The read loop starts inside jsonrpc2.NewConn, before c.rpc is assigned.
+	// Handle waits for ready so that no handler uses a Conn without rpc.
+	c.rpc = jsonrpc2.NewConn(context.Background(), newStream(conn, &n.Traffic), c, jsonrpc2.SetLogger(discardLogger{}))
+	close(c.ready)
 	n.mu.Lock()
 	n.conns[c] = struct{}{}
 	closed := n.closed
 	if !closed {
-		// Close waits only for what is counted before it: a dial that ends
-		// later must not add to a count that is being waited for.
+		// A dial may finish after Close has been called; it must not add to
+		// wg while Close waits on it.
 		n.wg.Add(1)
 	}
 	n.mu.Unlock()
 	go func() {
-		n.watch(c)
+		n.awaitDisconnect(c)
 		if !closed {
 			n.wg.Done()
 		}
@@ -183,7 +196,7 @@
 	return c
 }
 
-func (n *Node) watch(c *Conn) {
+func (n *Node) awaitDisconnect(c *Conn) {
 	<-c.rpc.DisconnectNotify()
 	n.mu.Lock()
 	delete(n.conns, c)
@@ -193,20 +206,22 @@
 	}
 }
 
-// Dial connects to addr and joins the process there.
+// Dial connects to addr, performs the TLS handshake and exchanges hellos. Its
+// errors are of type ErrNotWritten.
 func (n *Node) Dial(ctx context.Context, addr string) (*Conn, error) {
 	conn, err := n.Connect(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return n.Join(ctx, conn)
+	return n.Handshake(ctx, conn)
 }
 
-// Connect opens a connection to addr, on which nothing has been said.
+// Connect opens a connection to addr without a TLS handshake or a hello; Handshake
+// performs both.
 func (n *Node) Connect(ctx context.Context, addr string) (net.Conn, error) {
 	dial := n.cfg.Dial
 	if dial == nil {
-		dial = (&net.Dialer{Timeout: helloTimeout, KeepAlive: keepAlive}).DialContext
+		dial = (&net.Dialer{Timeout: helloTimeout, KeepAlive: keepAlivePeriod}).DialContext
 	}
 	conn, err := dial(ctx, "tcp", addr)
 	if err != nil {
@@ -215,15 +230,16 @@
 	return conn, nil
 }
 
-// Join makes the TLS handshake on a connection from Connect and exchanges hellos.
-func (n *Node) Join(ctx context.Context, conn net.Conn) (*Conn, error) {
+// Handshake performs the TLS handshake on a connection from Connect and exchanges
+// hellos. It closes the connection on error.
+func (n *Node) Handshake(ctx context.Context, conn net.Conn) (*Conn, error) {
 	addr := conn.RemoteAddr()
-	secure, err := n.secure(ctx, conn)
+	secure, err := n.clientHandshake(ctx, conn)
 	if err != nil {
 		_ = conn.Close()
 		return nil, ErrNotWritten.Wrap(err, "handshake with %s", addr)
 	}
-	c := n.open(secure)
+	c := n.newConn(secure)
 	c.dialed.Store(true)
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -232,11 +248,11 @@
 		c.Close()
 		return nil, ErrNotWritten.Wrap(err, "hello to %s", addr)
 	}
-	c.accept(theirs)
+	c.completeHello(theirs)
 	return c, nil
 }
 
-func (n *Node) secure(ctx context.Context, conn net.Conn) (net.Conn, error) {
+func (n *Node) clientHandshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if n.cfg.TLS == nil || n.cfg.Dial != nil {
 		return conn, nil
 	}
@@ -259,11 +275,11 @@
 	if theirs.Process.Name == "" || theirs.Process.Incarnation == "" {
 		return wire.Hello{}, ErrMalformed.New("hello without a process")
 	}
-	from.accept(theirs)
+	from.completeHello(theirs)
 	return n.cfg.Hello(), nil
 }
 
-func (c *Conn) accept(theirs wire.Hello) {
+func (c *Conn) completeHello(theirs wire.Hello) {
 	c.hello.Store(&theirs)
 	if c.authenticated.Swap(true) {
 		return
@@ -286,24 +302,26 @@
 	return conns
 }
 
-// DropAll closes every connection and keeps listening. A process that was
-// paused calls it, so that messages that waited in socket buffers die unread.
-// When it returns no call is written to any of the connections, which it lists;
-// a peer that does not read may hold up the close of its own for seconds.
+// DropAll closes every connection, keeps listening, and returns the connections.
+// A process that was paused calls it to discard unread messages that arrived
+// during the pause. Once it has returned, no call is written to any of these
+// connections. The connections close in the background, because the close can
+// take seconds for a peer that does not read.
 func (n *Node) DropAll() []*Conn {
 	n.mu.Lock()
 	conns := make([]*Conn, 0, len(n.conns))
 	for c := range n.conns {
 		c.dropped.Store(true)
 		conns = append(conns, c)
-		// The connection's watch still counts, so Close does not miss this.
+		// awaitDisconnect of this connection still counts in wg, so wg.Go cannot
+		// race with the Wait in Close.
 		n.wg.Go(c.Close)
 	}
 	n.mu.Unlock()
 	return conns
 }
 
-// StopListening refuses new connections and keeps the open ones.
+// StopListening closes the listener and keeps the open connections.
 func (n *Node) StopListening() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -312,7 +330,7 @@
 	}
 }
 
-// Close ends the listener and all connections and waits for them.
+// Close closes the listener and all connections and waits until they have ended.
 func (n *Node) Close() {
 	n.StopListening()
 	n.stop()
@@ -323,7 +341,7 @@
 	n.wg.Wait()
 }
 
-// Peer returns the latest hello of the other side.
+// Peer returns the latest hello of the peer; zero before the first.
 func (c *Conn) Peer() wire.Hello {
 	if h := c.hello.Load(); h != nil {
 		return *h
@@ -331,56 +349,60 @@
 	return wire.Hello{}
 }
 
-// RemoteAddr returns the other side's address.
+// RemoteAddr returns the network address of the peer.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
-// Dialed tells whether this process dialled the connection, or accepted it.
+// Dialed reports whether this process dialled the connection; false means that
+// it accepted it.
 func (c *Conn) Dialed() bool { return c.dialed.Load() }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
 // Close ends the connection.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
-// Call sends a request and waits for its result. Its error is of type
-// ErrNotWritten, ErrLost or ErrRemote. A call is never sent again.
+// Call sends a request, waits for the reply and decodes it into result, which
+// may be nil. Its error is of type ErrNotWritten, ErrLost or ErrRemote. Call
+// never retries.
 func (c *Conn) Call(ctx context.Context, method string, params, result any) error {
 	if err := ctx.Err(); err != nil {
 		return ErrNotWritten.Wrap(err, "%s", method)
 	}
-	text, err := verbatim(params)
+	text, err := encodeVerbatim(params)
 	if err != nil {
 		return ErrNotWritten.Wrap(err, "%s", method)
 	}
-	if err := c.writable(); err != nil {
+	if err := c.checkWritable(); err != nil {
 		return ErrNotWritten.Wrap(err, "%s", method)
 	}
 	waiter, err := c.rpc.DispatchCall(ctx, method, text)
 	if err != nil {
-		return writeError(err, method)
+		return classifyWriteError(err, method)
 	}
 	var reply json.RawMessage
 	if err := waiter.Wait(ctx, &reply); err != nil {
-		return waitError(err, method)
+		return classifyWaitError(err, method)
 	}
 	if result == nil {
 		return nil
 	}
-	if err := decode(reply, result); err != nil {
+	if err := decodeVerbatim(reply, result); err != nil {
 		return ErrLost.Wrap(err, "%s: malformed result", method)
 	}
 	return nil
 }
 
-// writable is asked immediately before a call is written, which cannot be undone.
+// checkWritable returns ErrNotWritten if no call may be written to the connection
+// now. Call runs it immediately before the write, which cannot be undone.
 //
-// It guards against calls that a process writes on waking from a pause. The
-// connections are dropped as soon as the pause is noticed, and a call that was
-// written until then has an unknown fate, though nothing was wrong but the time
-// at which it was written. The order of the two questions matters: once the
-// process no longer counts as stalled its old connections are marked.
-func (c *Conn) writable() error {
+// It prevents a process that resumes from a pause from writing calls to its old
+// connections. These are dropped as soon as the pause is detected, and the
+// outcome of a call written before that would be unknown, although a moment
+// later it could have gone out on a new connection. Stalled must be checked
+// before dropped: by the time Stalled returns false, the old connections are
+// marked as dropped.
+func (c *Conn) checkWritable() error {
 	if c.node.cfg.Stalled != nil && c.node.cfg.Stalled() {
 		return ErrNotWritten.New("this process was paused")
 	}
@@ -390,14 +412,15 @@
 	return nil
 }
 
-// Notify sends a notification.
+// Notify sends a notification, which has no reply. Its error is of type
+// ErrNotWritten or ErrLost.
 func (c *Conn) Notify(method string, params any) error {
-	text, err := verbatim(params)
+	text, err := encodeVerbatim(params)
 	if err != nil {
 		return ErrNotWritten.Wrap(err, "%s", method)
 	}
 	if err := c.rpc.Notify(context.Background(), method, text); err != nil {
-		return writeError(err, method)
+		return classifyWriteError(err, method)
 	}
 	return nil
 }
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -51,10 +51,10 @@
 	assert.Assert(t, errorx.IsOfType(err, ErrRemote), "%v", err)
 }
 
-// A caller would be told "not run" of a call that ran, if a connection that
-// broke after the write looked like one that broke before it. The server
-// reads the call and hangs up; the client must report it as lost. A second
-// call on the dead connection must report that nothing was written.
+// Guards against reporting a call that ran as not run, because a connection that
+// broke after the write is taken for one that broke before it. The server closes
+// the connection on receiving the call, which the client must report as lost. A
+// second call on the closed connection must report that nothing was written.
 func TestLostIsNotNotWritten(t *testing.T) {
 	mux := NewMux()
 	HandleCall(mux, "run", func(_ context.Context, from *Conn, _ wire.Revoke) (wire.RevokeResult, error) {
@@ -78,8 +78,9 @@
 	assert.Assert(t, errorx.IsOfType(err, ErrRemote), "the connection stays usable: %v", err)
 }
 
-// A faulty or hostile peer announces a message of a terabyte. Reading it would
-// exhaust the VM's memory; the connection must end and the event be counted.
+// Guards against a faulty or hostile peer that announces a message of a terabyte,
+// which would exhaust the VM's memory. The connection must end and the message
+// must be counted as rejected.
 func TestOversizedFrameEndsConnection(t *testing.T) {
 	server, _, addr := pair(t, NewMux())
 	raw, err := net.Dial("tcp", addr)
@@ -105,6 +106,6 @@
 	client := testNode(t, "client", NewMux())
 	raw, err := client.Connect(context.Background(), addr.String())
 	assert.NilError(t, err)
-	err = client.open(raw).Call(context.Background(), "run", wire.Revoke{}, nil)
+	err = client.newConn(raw).Call(context.Background(), "run", wire.Revoke{}, nil)
 	assert.Assert(t, errorx.IsOfType(err, ErrRemote), "%v", err)
 }
--- a/peer/params.go
+++ b/peer/params.go
@@ -2,23 +2,23 @@
 
 import "encoding/json"
 
-// verbatim encodes the params or the result of a call as one JSON string that
-// holds their JSON.
+// encodeVerbatim encodes the params or the result of a call as JSON and returns
+// the JSON text. It is sent as one JSON string, which the library does not alter.
 //
-// It guards against the library, which decodes params into maps and encodes
-// them anew, and decodes results to look whether they are null. The first shows
-// as inputs and stage results that reach an endpoint with their keys sorted and
-// repeated keys dropped: not what the caller sent, and another prompt prefix than
-// the one in the cache. The second shows as a connection that ends, with all
-// calls on it, when an output has a number beyond a float64. A string keeps its
-// text.
-func verbatim(v any) (string, error) {
+// If params and results were sent as plain JSON, the library would decode params
+// into maps and encode them again, and would decode results to check whether
+// they are null. The first sorts the keys of inputs and stage results and drops
+// repeated keys, so the endpoint gets a different text from what the caller
+// sent, with a different prompt prefix from the one in the cache. The second
+// ends the connection, with all calls on it, when an output contains a number
+// that exceeds the range of a float64.
+func encodeVerbatim(v any) (string, error) {
 	body, err := json.Marshal(v)
 	return string(body), err
 }
 
-// decode reads what verbatim encoded.
-func decode(raw json.RawMessage, into any) error {
+// decodeVerbatim decodes what encodeVerbatim encoded.
+func decodeVerbatim(raw json.RawMessage, into any) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return err
--- a/peer/params_test.go
+++ b/peer/params_test.go
@@ -10,9 +10,9 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// A caller's input and a stage's output pass between processes inside a stage
-// call. The endpoint must get the text that was sent, with its keys in their
-// order: an output that is made of it, or a cached prefix of it, would differ.
+// Guards against an input or output that is decoded and encoded again on its way
+// between processes. The endpoint must get the text as it was sent, with its keys
+// in their order, or its output and its cached prompt prefix would differ.
 func TestParamsArriveVerbatim(t *testing.T) {
 	const input = `{"z":1,"a":{"y":2,"b":[1e400,12345678901234567890]},"z":"\ud83d\ude00 \" \\ é"}`
 	mux := NewMux()
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -17,26 +17,30 @@
 )
 
 const (
-	// writeTimeout bounds the write of one piece. A peer that is stopped while its
+	// writeTimeout bounds the write of one chunk. A peer that is stopped while its
 	// socket buffer is full would otherwise block every sender on the connection.
 	writeTimeout = 2 * time.Second
-	// writePiece is how many bytes of a message have writeTimeout: over 10 Mbit/s
-	// they take 50 ms. With one limit for a whole message the longest ones, which
-	// take three seconds there, ended the connection each time.
-	writePiece = 64 << 10
+	// writeChunkSize is the number of bytes that must be written within
+	// writeTimeout; a chunk takes 50 ms on a link of 10 Mbit/s. With one timeout
+	// for a whole message, the longest messages, which take three seconds on
+	// such a link, ended the connection each time.
+	writeChunkSize = 64 << 10
 )
 
-// Traffic counts what passed over all connections of a node.
+// Traffic has the counters of all connections of a node.
 type Traffic struct {
 	BytesIn, BytesOut       atomic.Int64
 	MessagesIn, MessagesOut atomic.Int64
-	// Rejected counts oversized or malformed messages, each ending its connection.
+	// Rejected counts messages that were oversized, malformed, of an unknown
+	// method, or received before the hello. Only an oversized message, or one
+	// that cannot be decoded as JSON-RPC, ends its connection.
 	Rejected atomic.Int64
 	// HandshakesRefused counts incoming connections whose TLS handshake failed.
 	HandshakesRefused atomic.Int64
 }
 
-// stream frames JSON objects with a varint length and bounds their size.
+// stream implements jsonrpc2.ObjectStream. It frames JSON objects with a varint
+// length and bounds their size by wire.MaxMessage.
 type stream struct {
 	conn net.Conn
 	// raw is the socket below conn; nil if there is none.
@@ -44,7 +48,9 @@
 	reader  *bufio.Reader
 	traffic *Traffic
 
-	mu     sync.Mutex
+	// mu serialises writes and guards broken.
+	mu sync.Mutex
+	// broken is the error of the first failed write; nil while none has failed.
 	broken error
 }
 
@@ -52,8 +58,8 @@
 	return &stream{conn: conn, raw: socket.Raw(conn), reader: bufio.NewReader(conn), traffic: traffic}
 }
 
-// WriteObject writes one message. An oversized or unencodable object is
-// refused before any byte of it is written and leaves the stream usable.
+// WriteObject writes one message. An oversized or unencodable object is rejected
+// with ErrNotWritten before any byte of it is written, and the stream stays usable.
 func (s *stream) WriteObject(obj any) error {
 	payload, err := json.Marshal(obj)
 	if err != nil {
@@ -70,21 +76,22 @@
 func (s *stream) writeFrame(frame []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A frame cut by a failed write must not be followed by another: the
-	// reader would take the second's bytes for the rest of the first.
+	// Another frame must not follow one that was truncated by a failed write:
+	// the reader would take its bytes for the rest of the truncated frame.
 	if s.broken != nil {
 		return ErrNotWritten.Wrap(s.broken, "connection is broken")
 	}
-	// A busy process reads the end of a connection late. A message that is
-	// written meanwhile is lost, and nobody can say any more that it was not acted on.
+	// A busy process may be late to read that the peer has closed the connection.
+	// A message written in the meantime is lost, and the caller cannot know
+	// whether the peer acted on it.
 	if s.raw != nil && socket.ClosedByPeer(s.raw) {
 		return ErrNotWritten.New("the peer has closed the connection")
 	}
-	if err := s.allowPiece(); err != nil {
+	if err := s.extendWriteDeadline(); err != nil {
 		return ErrNotWritten.Wrap(err, "set write deadline")
 	}
-	for piece := range slices.Chunk(frame, writePiece) {
-		if err := s.writePiece(piece); err != nil {
+	for chunk := range slices.Chunk(frame, writeChunkSize) {
+		if err := s.writeChunk(chunk); err != nil {
 			s.broken = err
 			_ = s.conn.Close()
 			return ErrLost.Wrap(err, "write message")
@@ -94,15 +101,15 @@
 	return nil
 }
 
-func (s *stream) allowPiece() error {
+func (s *stream) extendWriteDeadline() error {
 	return s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-func (s *stream) writePiece(piece []byte) error {
-	if err := s.allowPiece(); err != nil {
+func (s *stream) writeChunk(chunk []byte) error {
+	if err := s.extendWriteDeadline(); err != nil {
 		return err
 	}
-	n, err := s.conn.Write(piece)
+	n, err := s.conn.Write(chunk)
 	s.traffic.BytesOut.Add(int64(n))
 	return err
 }
--- a/peer/weak_test.go
+++ b/peer/weak_test.go
@@ -12,10 +12,11 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// weakLinkBytes is what the link of the weakest VMs, 10 Mbit/s, carries in a second.
+// weakLinkBytes is the throughput of the slowest VMs' link, 10 Mbit/s, in bytes
+// per second.
 const weakLinkBytes = 10e6 / 8
 
-// dialWeak connects over a link that carries weakLinkBytes and holds none.
+// dialWeak connects over a link that sends weakLinkBytes per second and has no buffer.
 func dialWeak(_ context.Context, network, addr string) (net.Conn, error) {
 	far, err := net.Dial(network, addr)
 	if err != nil {
@@ -37,16 +38,17 @@
 		}
 	}()
 	go func() {
-		// Ends with either connection.
+		// The copy ends when either connection is closed.
 		_, _ = io.Copy(inner, far)
 		_ = inner.Close()
 	}()
 	return near, nil
 }
 
-// A configuration of the size that is allowed never reaches a VM behind a weak
-// link: it takes three seconds, and the connection is ended after two as if the
-// peer had stopped to read. All calls on it are lost, and the next one begins anew.
+// Guards against a write timeout that covers a whole message: the largest allowed
+// configuration takes three seconds on a slow link and would never arrive,
+// because the connection would end after two seconds as if the peer had stopped
+// reading, with all calls on it lost.
 func TestLongMessageOverWeakLink(t *testing.T) {
 	mux := NewMux()
 	HandleCall(mux, "take", func(_ context.Context, _ *Conn, p wire.BundleBody) (int, error) {
