--- a/member/bundles.go
+++ b/member/bundles.go
@@ -14,42 +14,46 @@
 )
 
 const (
-	// fetchTimeout bounds the fetch of one bundle from a peer. A peer that is
-	// stopped must leave time for another within the seconds in which a bundle
-	// is to be in force.
+	// fetchTimeout bounds the fetch of one bundle from a peer. It leaves time for
+	// a fetch from another peer when the first is stopped, since a bundle is
+	// meant to be in force everywhere within seconds.
 	fetchTimeout = 2 * time.Second
-	// maxServedFetches bounds the bundles being sent to peers at once. After a
-	// change all peers ask at once; those turned away ask one of the others.
+	// maxServedFetches bounds how many bundles are sent to peers concurrently.
+	// After a change all peers fetch at once; a rejected peer fetches from
+	// another one.
 	maxServedFetches = 8
 )
 
 var (
 	errs = errorx.NewNamespace("member")
-	// ErrBusy is returned to a peer whose fetch is turned away for now.
+	// ErrBusy is returned to a peer whose fetch exceeds maxServedFetches.
 	ErrBusy = errs.NewType("busy")
-	// ErrNoBundle is returned to a peer when no bundle is in force here.
+	// ErrNoBundle is returned to a peer that fetches from a process without a
+	// bundle in force.
 	ErrNoBundle = errs.NewType("no_bundle")
 )
 
-// updateGossip passes an event to the spread core and carries out its effects.
-func (s *Service) updateGossip(event func(*gossipCore) gossipEffects) {
+// updateGossip applies update to the gossip core and executes the effects that
+// it returns.
+func (s *Service) updateGossip(update func(*gossipCore) gossipEffects) {
 	s.gossipMu.Lock()
-	effects := event(s.gossip)
+	effects := update(s.gossip)
 	s.gossipMu.Unlock()
 	for _, vm := range effects.SendHead {
 		if l := s.links.get(vm); l != nil {
 			signal(l.wake)
 		}
 	}
-	for _, order := range effects.Fetch {
-		s.spawn(func() { s.fetch(order) })
+	for _, task := range effects.Fetch {
+		s.spawn(func() { s.fetch(task) })
 	}
 	for _, vm := range effects.Exchange {
 		s.spawn(func() { s.exchange(vm) })
 	}
 }
 
-// gossipLoop drives the spread core's waves, exchanges and repeated fetches.
+// gossipLoop runs the gossip core's timers: notification waves, hello exchanges
+// and fetch retries.
 func (s *Service) gossipLoop() {
 	for {
 		var next time.Duration
@@ -64,7 +68,8 @@
 	}
 }
 
-// sendHeads sends the present head to one peer whenever it is woken.
+// sendHeads sends the current head to the peer of l each time l.wake is
+// signalled, until the link is gone.
 func (s *Service) sendHeads(l *link) {
 	for {
 		select {
@@ -92,44 +97,45 @@
 	s.updateGossip(func(c *gossipCore) gossipEffects { return c.headReceived(s.cfg.Now(), l.vm, head) })
 }
 
-// fetch asks a peer for a bundle and offers it.
-func (s *Service) fetch(order fetchOrder) {
-	body, err := s.fetchBody(order)
+// fetch fetches a bundle from a peer and offers it to the holder. If the holder
+// refuses it, the head is not fetched again for refusedRetention.
+func (s *Service) fetch(task fetchTask) {
+	body, err := s.fetchBody(task)
 	if err != nil {
 		s.stats.FetchFailures.Add(1)
-		s.cfg.Log.Debug().Str("event", logBundleNotFetched).Err(err).Str("vm", order.VM).
-			Uint64("version", order.Head.Version).Msg("bundle not fetched")
+		s.cfg.Log.Debug().Str("event", logBundleNotFetched).Err(err).Str("vm", task.VM).
+			Uint64("version", task.Head.Version).Msg("bundle not fetched")
 	} else {
 		s.stats.BundleBytesIn.Add(int64(len(body)))
-		a := s.offer(body, "peer "+order.VM)
+		a := s.offer(body, "peer "+task.VM)
 		if !a.Changed() && a.Result != bundle.ResultCollected {
 			s.gossipMu.Lock()
-			s.gossip.markRefused(s.cfg.Now(), order.Head)
+			s.gossip.markRefused(s.cfg.Now(), task.Head)
 			s.gossipMu.Unlock()
 		}
 	}
-	s.updateGossip(func(c *gossipCore) gossipEffects { return c.fetchDone(s.cfg.Now(), order, err == nil) })
+	s.updateGossip(func(c *gossipCore) gossipEffects { return c.fetchDone(s.cfg.Now(), task, err == nil) })
 	signal(s.gossipWake)
 }
 
-func (s *Service) fetchBody(order fetchOrder) ([]byte, error) {
-	l := s.links.get(order.VM)
+func (s *Service) fetchBody(task fetchTask) ([]byte, error) {
+	l := s.links.get(task.VM)
 	if l == nil {
-		return nil, peer.ErrNotWritten.New("no connection to %s", order.VM)
+		return nil, peer.ErrNotWritten.New("no connection to %s", task.VM)
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, fetchTimeout)
 	defer cancel()
 	s.stats.Fetches.Add(1)
 	var body wire.BundleBody
-	if err := l.conn.Call(ctx, wire.MethodBundleFetch, wire.BundleFetch{Head: order.Head}, &body); err != nil {
+	if err := l.conn.Call(ctx, wire.MethodBundleFetch, wire.BundleFetch{Head: task.Head}, &body); err != nil {
 		return nil, err
 	}
 	return body.Signed, nil
 }
 
-// serveFetch sends the bundle in force, which is never older than a head that
-// this process has sent.
-func (s *Service) serveFetch(_ context.Context, _ *peer.Conn, ask wire.BundleFetch) (wire.BundleBody, error) {
+// serveFetch returns the bundle in force, which is never older than any head
+// that this process has sent.
+func (s *Service) serveFetch(_ context.Context, _ *peer.Conn, req wire.BundleFetch) (wire.BundleBody, error) {
 	select {
 	case s.fetchSlots <- struct{}{}:
 	default:
@@ -141,17 +147,18 @@
 	if served == nil {
 		return wire.BundleBody{}, ErrNoBundle.New("no bundle is in force")
 	}
-	// The loser of a conflict is sent as long as its version is in force, so
-	// that the other side sees the conflict and reports it too.
-	if rival := s.cfg.Holder.ByHead(ask.Head); rival != nil && ask.Head.Version == served.Head.Version {
-		served = rival
+	// While the version is in force, the content that lost a conflict is sent
+	// on request, so that the peer detects the conflict and reports it too.
+	if conflicting := s.cfg.Holder.ByHead(req.Head); conflicting != nil && req.Head.Version == served.Head.Version {
+		served = conflicting
 	}
 	s.stats.FetchesServed.Add(1)
 	s.stats.BundleBytesOut.Add(int64(len(served.Signed)))
 	return wire.BundleBody{Signed: served.Signed}, nil
 }
 
-// offer hands a value to the holder and deals with the outcome.
+// offer offers a signed bundle to the holder, then logs and applies the result.
+// Source names the origin in the log.
 func (s *Service) offer(signed []byte, source string) bundle.Adoption {
 	s.offerMu.Lock()
 	defer s.offerMu.Unlock()
@@ -164,7 +171,8 @@
 	return a
 }
 
-// apply passes on what is now in force. The caller holds offerMu.
+// apply calls OnBundle if the bundle in force has changed, and notifies the
+// gossip core of a newly held bundle. The caller holds offerMu.
 func (s *Service) apply(a *bundle.Adoption) {
 	if a.Changed() {
 		if s.cfg.OnBundle != nil {
@@ -178,7 +186,8 @@
 	}
 }
 
-// settleHeld ends the collection of offers. The caller holds offerMu.
+// adoptCollected makes the holder adopt the best collected bundle. If nothing
+// was collected, the holder goes on collecting. The caller holds offerMu.
 func (s *Service) adoptCollected() {
 	a := s.cfg.Holder.Settle(s.cfg.Now())
 	if a.Result != bundle.ResultNothing {
@@ -187,7 +196,7 @@
 	s.apply(&a)
 }
 
-// recordOffer logs and publishes what became of an offer.
+// recordOffer logs, counts and publishes the result of an offer.
 func (s *Service) recordOffer(a *bundle.Adoption) {
 	event := s.cfg.Log.Info()
 	switch {
@@ -208,7 +217,7 @@
 	})
 }
 
-// canceled tells whether a call ended because the service stops.
-func (s *Service) isStopping(err error) bool {
+// canceledByStop reports whether a call failed because the service is stopping.
+func (s *Service) canceledByStop(err error) bool {
 	return s.ctx.Err() != nil || errors.Is(err, context.Canceled)
 }
--- a/member/cadence.go
+++ b/member/cadence.go
@@ -9,34 +9,40 @@
 )
 
 const (
-	// watcherList is the cadence at which watchers read the list.
+	// watcherListInterval is the interval at which watchers read the list of VMs.
 	watcherListInterval = time.Second
-	// entryList is the cadence of entries, in a fleet of up to cadenceUnit of
-	// them, and agentList that of agents. Both lengthen with the square root of
-	// the number, so that the total grows more slowly than the fleet. News of
-	// a leaving VM goes from the watchers to all others by notes.
-	entryListInterval = time.Second
-	agentListInterval = 5 * time.Second
-	unscaledSharers   = 8
-	// bundlePoll is how often a process that does not watch reads the bundle;
-	// it lengthens likewise.
+	// entryListInterval is the interval at which entries read the list of VMs, if
+	// there are at most maxUnscaledSharers of them; agentListInterval is that of
+	// agents, in a fleet of at most as many VMs. Above that, both grow with the
+	// square root of the number, so that the total rate of reads grows more
+	// slowly than the fleet. The others learn of a leaving VM by notifications
+	// from the watchers.
+	entryListInterval  = time.Second
+	agentListInterval  = 5 * time.Second
+	maxUnscaledSharers = 8
+	// bundlePollInterval is the interval at which a process that does not watch
+	// the configuration service reads the bundle; it grows with the fleet likewise.
 	bundlePollInterval = 10 * time.Second
-	// lonelyPoll is the cadence of a process without any connection, at most
-	// maxLonelyRate reads a second for a whole fleet of such.
+	// isolatedPollInterval is the least interval at which a process without any
+	// peer connection reads the bundle. It grows with the fleet, so that a fleet
+	// of such processes makes at most maxIsolatedReadsPerSecond reads.
 	isolatedPollInterval      = 2 * time.Second
 	maxIsolatedReadsPerSecond = 200
-	// jitterShare is the share by which each cadence is varied either way.
+	// jitterFraction is the largest fraction by which jitter lengthens or shortens
+	// an interval.
 	jitterFraction = 0.25
 )
 
+// jitter varies d at random by up to jitterFraction.
 func jitter(rng *rand.Rand, d time.Duration) time.Duration { return applyJitter(d, rng.Float64()) }
 
-// vary lengthens or shortens d by up to jitterShare; draw is from 0 to 1.
+// applyJitter varies d by up to jitterFraction. Draw is in [0, 1): 0 gives the
+// shortest interval.
 func applyJitter(d time.Duration, draw float64) time.Duration {
 	return time.Duration(float64(d) * (1 + jitterFraction*(2*draw-1)))
 }
 
-// listEvery returns the time to the next list read.
+// listInterval returns the time until the next read of the list of VMs.
 func (c *gossipCore) listInterval() time.Duration {
 	switch {
 	case c.watcher:
@@ -47,8 +53,8 @@
 	return jitter(c.rng, scaleInterval(agentListInterval, c.fleetSize))
 }
 
-// pollEvery returns the time between two reads of the bundle by a process that
-// does not watch it; draw, from 0 to 1, places it in the range of the jitter.
+// pollInterval returns the time between two reads of the bundle by a process that
+// does not watch it. Draw, in [0, 1), selects the jitter as in applyJitter.
 func (c *gossipCore) pollInterval(draw float64) time.Duration {
 	if len(c.peers) > 0 {
 		return applyJitter(scaleInterval(bundlePollInterval, c.fleetSize), draw)
@@ -57,10 +63,11 @@
 	return applyJitter(max(isolatedPollInterval, fleetLimit), draw)
 }
 
-// scaled lengthens a cadence with the square root of the number that share it.
+// scaleInterval lengthens an interval with the square root of the number of
+// processes that share the platform's rate limit.
 func scaleInterval(base time.Duration, n int) time.Duration {
-	if n <= unscaledSharers {
+	if n <= maxUnscaledSharers {
 		return base
 	}
-	return time.Duration(float64(base) * math.Sqrt(float64(n)/unscaledSharers))
+	return time.Duration(float64(base) * math.Sqrt(float64(n)/maxUnscaledSharers))
 }
--- a/member/config.go
+++ b/member/config.go
@@ -1,7 +1,7 @@
-// Package member is how a process takes part in the fleet. It follows the
-// platform's list of VMs and its configuration service, keeps connections to
-// peers, and adopts and spreads bundles. Nothing in it needs an agreement
-// between processes: each view is one process's own and may be out of date.
+// Package member implements the membership of a process in the fleet. It follows
+// the platform's list of VMs and its configuration service, maintains connections
+// to peers, adopts bundles, and distributes them by gossip. It needs no consensus
+// between processes: each process has its own view, which may be out of date.
 package member
 
 import (
@@ -17,42 +17,49 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Platform is what member reads of the platform.
+// Platform is the part of the platform that a Service reads: the configuration
+// service and the list of VMs.
 type Platform interface {
 	confsvc.Config
 	confsvc.Lister
 }
 
-// Config is what a Service is made of. Callbacks may be nil; none may block,
-// and none may call Stop.
+// Config configures a Service. Callbacks may be nil; they must not block and
+// must not call Stop.
 type Config struct {
+	// Self identifies this process.
 	Self wire.Process
-	// VM is the own VM's name in the platform's list; empty means Self.Name.
+	// VM is the name of this process's VM in the platform's list; empty means Self.Name.
 	VM string
-	// Listen is the address for peers.
+	// Listen is the address on which peers connect.
 	Listen string
-	// TLS proves peers to each other; nil means plain TCP.
+	// TLS configures mutual authentication between peers; nil means plain TCP.
 	TLS *tls.Config
-	// Mux has the owner's methods; New adds member's own.
+	// Mux has the methods of the Service's owner, to which New adds its own; nil
+	// means none.
 	Mux      *peer.Mux
 	Platform Platform
-	Holder   *bundle.Holder
-	// Bus receives kernel.BundleEvent and kernel.MemberEvent; nil for none.
+	// Holder decides which bundle is in force.
+	Holder *bundle.Holder
+	// Bus receives kernel.BundleEvent and kernel.MemberEvent; nil means that no
+	// events are published.
 	Bus *kernel.Bus
 	Log zerolog.Logger
-	// Report returns an agent's report on its endpoint; nil for an entry.
+	// Report returns the agent's report on its endpoint; nil in an entry.
 	Report func() wire.AgentReport
-	// OnReport is called for each report that an agent's hello or notification carries.
+	// OnReport is called for each report received in a hello or notification of
+	// an agent.
 	OnReport func(wire.AgentReport)
 	// OnBundle is called for each adopted bundle, in order.
 	OnBundle func(*bundle.Verified)
-	// OnLeaving is called when the own VM starts or stops being listed as leaving.
+	// OnLeaving is called when this process's VM starts or stops counting as leaving.
 	OnLeaving func(leaving bool)
 	// DialRoles are the roles of the VMs to keep connections to. An agent dials
-	// them only while it has no connection.
+	// them only when it starts and while it has no connection.
 	DialRoles []wire.Role
-	// FleetSize is the expected number of VMs. It spreads the first reads of a
-	// fleet that starts as one; zero means a small fleet.
+	// FleetSize is the expected number of VMs. The first reads of the platform
+	// are spread over a time proportional to it, for fleets whose processes all
+	// start together; zero means a small fleet.
 	FleetSize int
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
--- a/member/conns.go
+++ b/member/conns.go
@@ -16,25 +16,25 @@
 		conn.Close()
 		return
 	}
-	a := s.links.admit(s.cfg.Now(), conn, &hello)
-	if a.Stale {
+	admitted := s.links.admit(s.cfg.Now(), conn, &hello)
+	if admitted.Stale {
 		s.cfg.Log.Warn().Str("event", logProcessRefused).Str("vm", helloVM(&hello)).
-			Str("incarnation", hello.Process.Incarnation).Str("reason", a.Reason).Msg("process refused")
+			Str("incarnation", hello.Process.Incarnation).Str("reason", admitted.Reason).Msg("process refused")
 		conn.Close()
 		return
 	}
-	if a.Retire != nil {
-		s.retire(a.Retire, a.Reason)
+	if admitted.Retire != nil {
+		s.retire(admitted.Retire, admitted.Reason)
 	}
-	if a.Link == nil {
+	if admitted.Link == nil {
 		return
 	}
-	s.linkUp(a.Link, &hello)
-	s.spawn(func() { s.sendHeads(a.Link) })
+	s.linkUp(admitted.Link, &hello)
+	s.spawn(func() { s.sendHeads(admitted.Link) })
 	if s.cfg.OnReport != nil && hello.Process.Role == wire.RoleAgent {
 		s.cfg.OnReport(hello.Report)
 	}
-	// A connection that ended meanwhile was not yet known when its end was reported.
+	// If the connection ended before it was registered, onClose did not find it.
 	select {
 	case <-conn.Done():
 		s.onClose(conn)
@@ -42,7 +42,8 @@
 	}
 }
 
-// refusedLog bounds the lines about strangers: anyone can make any number.
+// refusedLogSampler limits the log lines about failed TLS handshakes to bursts of
+// 5 a second, because any client can cause any number of them.
 var refusedLogSampler = &zerolog.BurstSampler{Burst: 5, Period: time.Second}
 
 func (s *Service) onHandshakeFailed(from net.Addr, err error) {
@@ -50,12 +51,12 @@
 	log.Warn().Str("event", logPeerRefused).Stringer("address", from).Err(err).Msg("peer without a valid certificate refused")
 }
 
-// lingerTime is how long a connection that another took the place of stays
-// open. Calls may be in flight on it; cutting them would lose their results.
+// retireTimeout is how long a retired connection stays open. Calls may be in
+// flight on it, whose results an immediate close would lose.
 const retireTimeout = 30 * time.Second
 
-// retire ends a connection that is not to be used any more, and tells the
-// other side at once, which may have chosen it.
+// retire notifies the peer that the connection is no longer used, since the peer
+// may have kept it as the one in use, and closes it after retireTimeout.
 func (s *Service) retire(conn *peer.Conn, reason string) {
 	hello := conn.Peer()
 	s.cfg.Log.Debug().Str("event", logRetired).Str("vm", helloVM(&hello)).Str("reason", reason).Msg("connection retired")
@@ -74,24 +75,26 @@
 
 func (s *Service) onRetire(from *peer.Conn, _ wire.Retire) { s.onClose(from) }
 
-// onClose takes in that a connection ended or is no longer to be used.
+// onClose removes the link of a connection that ended or that the peer retired.
 func (s *Service) onClose(conn *peer.Conn) {
-	gone := s.links.remove(conn)
-	if gone == nil {
+	l := s.links.remove(conn)
+	if l == nil {
 		return
 	}
-	s.linkDown(gone)
+	s.linkDown(l)
 	signal(s.bundleWake)
 }
 
-// linked and unlinked tell the cores of a link that began or ended.
+// linkUp and linkDown notify the view core and the gossip core that a link has
+// been established or has ended.
 //
-// Two connections of one pair come and go at once when both sides dial, and
-// each is dealt with in a goroutine of its own. If the end of the first were
-// told after the beginning of the second, the VM would count as not connected
-// for as long as the second lasts: its endpoint gets no work, and bundles pass
-// it by. Therefore each looks, under the core's lock, whether its word still
-// holds; the other one then has the last word.
+// When both processes of a pair dial, two connections between them open and close
+// at about the same time, each handled in its own goroutine. If the end of the
+// first were applied after the start of the second, the VM would count as not
+// connected for as long as the second lasts: its endpoint would get no work, and
+// it would get no bundles. Therefore each function checks, under the core's lock,
+// that its event still matches s.links, and otherwise leaves the update to the
+// goroutine of the other connection.
 func (s *Service) linkUp(l *link, hello *wire.Hello) {
 	now := s.cfg.Now()
 	s.coreMu.Lock()
@@ -108,15 +111,15 @@
 	})
 }
 
-func (s *Service) linkDown(gone *link) {
+func (s *Service) linkDown(l *link) {
 	s.coreMu.Lock()
-	if s.links.get(gone.vm) == nil {
-		s.views.disconnect(s.cfg.Now(), gone.vm, gone.process)
+	if s.links.get(l.vm) == nil {
+		s.views.disconnect(s.cfg.Now(), l.vm, l.process)
 	}
 	s.coreMu.Unlock()
 	s.gossipMu.Lock()
-	if s.links.get(gone.vm) == nil {
-		s.gossip.peerDown(gone.vm)
+	if s.links.get(l.vm) == nil {
+		s.gossip.peerDown(l.vm)
 	}
 	s.gossipMu.Unlock()
 	s.markDirty()
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -190,20 +190,20 @@
 	for _, from := range e.Exchange {
 		c.queue = append(c.queue, func() { c.run(self, c.cores[self].headReceived(c.now, from, c.cores[from].head)) })
 	}
-	for _, order := range e.Fetch {
-		c.queue = append(c.queue, func() { c.fetchDone(self, order) })
+	for _, task := range e.Fetch {
+		c.queue = append(c.queue, func() { c.fetchDone(self, task) })
 	}
 }
 
-func (c *gossipSimulation) fetchDone(self string, order fetchOrder) {
-	core, got := c.cores[self], c.cores[order.VM].head
+func (c *gossipSimulation) fetchDone(self string, task fetchTask) {
+	core, got := c.cores[self], c.cores[task.VM].head
 	ok := c.rng.Float64() >= c.fetchLoss
 	if ok && newerHead(got, core.head) {
 		c.run(self, core.headAdopted(c.now, got))
 	} else if ok {
-		core.markRefused(c.now, order.Head)
+		core.markRefused(c.now, task.Head)
 	}
-	c.run(self, core.fetchDone(c.now, order, ok))
+	c.run(self, core.fetchDone(c.now, task, ok))
 	c.nextTick[self] = c.now
 }
 
--- a/member/dial.go
+++ b/member/dial.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// maxDials bounds the connections being made at once.
+	// maxDials is the upper bound of the dials that occupy a slot of the dial gate.
 	maxDials = 64
-	// dialTimeout bounds one attempt, the hello included.
+	// dialTimeout bounds one dial, including the hello.
 	dialTimeout = 4 * time.Second
-	// firstRedial and slowestRedial bound the wait after a failed attempt.
+	// minRedialDelay and maxRedialDelay bound the backoff after a failed dial.
 	minRedialDelay = 100 * time.Millisecond
 	maxRedialDelay = 5 * time.Second
-	// yieldDial is how long the side of a pair that does not dial by preference
-	// waits for the other side.
+	// yieldDelay is the extra time that a process waits before it dials a peer
+	// that is preferred to dial it (see prefersDial).
 	yieldDelay = time.Second
-	// lonelyAfter is how long an agent waits without a connection before it dials.
+	// isolationTimeout is how long an agent waits without a connection before it
+	// dials; a backoff is added to it.
 	isolationTimeout = 2 * time.Second
-	// freshDials is how many peers a fresh agent dials at once, to learn which
-	// bundle is in force.
+	// startupDials is how many peers a starting agent dials concurrently to learn
+	// which bundle is in force.
 	startupDials = 8
 )
 
@@ -37,6 +38,8 @@
 	role    wire.Role
 }
 
+// targets returns the VMs in the view with a role in DialRoles and an address,
+// without this process's own.
 func (s *Service) targets() []target {
 	var targets []target
 	for _, m := range s.View().Members {
@@ -48,7 +51,8 @@
 	return targets
 }
 
-// dialLoop keeps connections to the targets.
+// dialLoop dials targets until the service stops: an entry keeps connections to
+// all of them, an agent dials only when it has no connection.
 func (s *Service) dialLoop() {
 	if s.cfg.Self.Role == wire.RoleAgent {
 		s.dialWhenIsolated()
@@ -57,24 +61,25 @@
 	s.dialAll()
 }
 
-// dialAll runs a keeper for each target and ends it when the target goes.
+// dialAll runs maintainLink for each target and cancels it when the target
+// leaves the view.
 func (s *Service) dialAll() {
-	keepers := make(map[target]context.CancelFunc)
+	running := make(map[target]context.CancelFunc)
 	for {
 		wanted := make(map[target]bool)
 		for _, t := range s.targets() {
 			wanted[t] = true
-			if keepers[t] != nil {
+			if running[t] != nil {
 				continue
 			}
 			ctx, cancel := context.WithCancel(s.ctx)
-			keepers[t] = cancel
+			running[t] = cancel
 			s.spawn(func() { s.maintainLink(ctx, t) })
 		}
-		for t, cancel := range keepers {
+		for t, cancel := range running {
 			if !wanted[t] {
 				cancel()
-				delete(keepers, t)
+				delete(running, t)
 			}
 		}
 		select {
@@ -85,7 +90,8 @@
 	}
 }
 
-// keepLink connects to one target, and again whenever the connection ends.
+// maintainLink connects to a target and reconnects whenever the connection ends,
+// until ctx is cancelled.
 func (s *Service) maintainLink(ctx context.Context, t target) {
 	redialBackoff := newBackoff()
 	extraDelay := time.Duration(0)
@@ -110,8 +116,9 @@
 			return
 		case <-l.gone:
 		}
-		// A link that ended at once does not count as success, or a peer that
-		// hangs up after each hello would be dialled without end.
+		// The backoff is reset only after a link that lasted. Otherwise a peer
+		// that closes each connection after the hello would be dialled without
+		// backoff.
 		if s.cfg.Now().Sub(l.since) > maxRedialDelay {
 			redialBackoff.Reset()
 			delay = redialBackoff.NextBackOff()
@@ -120,7 +127,7 @@
 	}
 }
 
-// dial makes one attempt, once there is a place for it.
+// dial dials a target once, when the dial gate admits it.
 func (s *Service) dial(ctx context.Context, t target) {
 	if !s.dials.acquire(ctx) {
 		return
@@ -142,8 +149,9 @@
 	s.markDirty()
 }
 
-// join connects to a target and tells the gate how long it took. It gives back
-// the place that dial took.
+// connect connects to a target and records the handshake time with the dial
+// gate. It releases the slot that dial acquired, after connectGrace if the TCP
+// connection is not established by then.
 func (s *Service) connect(ctx context.Context, t target) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -161,9 +169,9 @@
 	return err
 }
 
-// dialWhenLonely connects an agent to peers when it starts and whenever none
-// has connected to it for a while, as when the entries read a list that does
-// not have it yet.
+// dialWhenIsolated dials peers when the agent starts and whenever it has had no
+// connection for a while, for example because the entries read a list that does
+// not contain it yet.
 func (s *Service) dialWhenIsolated() {
 	for len(s.targets()) == 0 {
 		if !s.sleepOrWake(isolationTimeout, s.dialWake) {
@@ -184,7 +192,7 @@
 	}
 }
 
-// dialAny dials up to n targets drawn at random, all at once.
+// dialAny dials up to n random targets concurrently.
 func (s *Service) dialAny(n int) {
 	targets := s.targets()
 	rand.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
@@ -202,6 +210,7 @@
 	return b
 }
 
+// sleepContext waits for d and returns false if ctx ends first.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/member/dialgate.go
+++ b/member/dialgate.go
@@ -7,46 +7,50 @@
 )
 
 const (
-	// firstDials is how many connections a process makes at once before it
-	// knows how long they take.
+	// initialDialLimit is how many dials a process runs concurrently before it
+	// has measured how long their handshakes take.
 	initialDialLimit = 8
-	// slowJoin is the time from which a handshake tells that this process or the
-	// other side has more of them than it can do: the other side gives a
-	// handshake up after twice that.
+	// slowHandshake is the handshake time that counts as congestion, of this
+	// process or of the peer. A peer abandons a handshake after twice this time.
 	slowHandshake = time.Second
-	// connectPatience is how long a dial that is not connected yet counts: a VM
-	// that is gone answers nothing, and costs nobody any work.
+	// connectGrace is how long a dial without a TCP connection occupies a slot. A
+	// VM that is gone never answers and causes no load, so its dial does not
+	// occupy a slot until it times out.
 	connectGrace = 300 * time.Millisecond
 )
 
-// dialResult is how a dial ended.
+// dialResult is the outcome of a dial for the purpose of congestion control.
 type dialResult uint8
 
 const (
-	// dialUnconnected dials met no process and say nothing of its load.
+	// dialUnconnected means that no handshake took place or that it was rejected
+	// at once, which is no sign of load.
 	dialUnconnected dialResult = iota
-	// dialJoined dials led to a connection.
+	// dialSucceeded means that the handshake finished in less than slowHandshake.
 	dialSucceeded
-	// dialCongested dials were connected, but the handshake was not done in time.
+	// dialCongested means that the handshake, finished or not, took slowHandshake
+	// or longer.
 	dialCongested
 )
 
-// dialLimit decides how many dials may be under way.
+// dialLimit is the adaptive limit of concurrent dials.
 //
-// It guards against a fleet that never gets connected: on a busy machine each
-// handshake is slower the more of them are made at once. If all take longer
-// than either side waits, the work for each is thrown away and done again, and
-// crowds out those that would finish. So the limit follows what dials take, as
-// the window of TCP does: it doubles while they are quick, is halved once for
-// all that were under way when one was not, and grows slowly from there.
+// It prevents congestion collapse, in which a fleet never gets connected: on a
+// busy machine, handshakes slow each other down. If all take longer than their
+// timeouts, their work is lost and done again, and delays the handshakes that
+// would finish. So the limit adapts to handshake times like the congestion window
+// of TCP: in slow start it doubles while they are fast; after a slow handshake it
+// is halved, once for all the dials then in flight; from there it grows linearly.
 type dialLimit struct {
-	ceiling  int
+	ceiling int
+	// limit is the current limit; its integer part applies.
 	limit    float64
 	inFlight int
-	// doubling lasts until the first halving.
+	// slowStart means that the limit has not been halved yet; until then each
+	// success raises it by one.
 	slowStart bool
-	// halvedAt is the time of the latest halving; dials that began before it
-	// belong to the same congestion.
+	// halvedAt is the time of the last halving. Dials that began before it belong
+	// to the same congestion and don't halve the limit again.
 	halvedAt time.Time
 }
 
@@ -54,10 +58,10 @@
 	return dialLimit{ceiling: ceiling, limit: float64(min(initialDialLimit, ceiling)), slowStart: true}
 }
 
-// free tells whether another dial may begin.
+// hasCapacity reports whether another dial may start.
 func (l *dialLimit) hasCapacity() bool { return l.inFlight < int(l.limit) }
 
-// ended takes in the result of a dial that began at the given time.
+// record adapts the limit to the result of a dial whose handshake began at began.
 func (l *dialLimit) record(began, now time.Time, result dialResult) {
 	switch result {
 	case dialSucceeded:
@@ -77,7 +81,8 @@
 	}
 }
 
-// resultOf judges a dial by the time that its handshake took.
+// classifyDial returns the result of a dial from the time that its handshake
+// took; ok means that the handshake succeeded.
 func classifyDial(ok bool, elapsed time.Duration) dialResult {
 	switch {
 	case elapsed >= slowHandshake:
@@ -85,21 +90,23 @@
 	case ok:
 		return dialSucceeded
 	default:
-		// It was refused at once, as by a process that is about to end.
+		// It was rejected at once, for example by a process that is stopping.
 		return dialUnconnected
 	}
 }
 
-// dialGate lets dials begin in the order in which they came, as dialLimit allows.
+// dialGate is a FIFO semaphore whose capacity is set by dialLimit.
 type dialGate struct {
 	mu    sync.Mutex
 	limit dialLimit
+	// queue has a channel for each waiter; a channel is closed when its waiter
+	// gets a slot.
 	queue []chan struct{}
 }
 
 func newDialGate(ceiling int) *dialGate { return &dialGate{limit: newDialLimit(ceiling)} }
 
-// enter waits for a place; it returns false if ctx ends first.
+// acquire waits for a slot. It returns false, without a slot, if ctx ends first.
 func (g *dialGate) acquire(ctx context.Context) bool {
 	g.mu.Lock()
 	if len(g.queue) == 0 && g.limit.hasCapacity() {
@@ -119,7 +126,8 @@
 	}
 }
 
-// abandon gives up a turn, which may have come meanwhile.
+// cancelWait removes a waiter from the queue, or releases its slot if it has got
+// one in the meantime.
 func (g *dialGate) cancelWait(ready chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -133,7 +141,7 @@
 	g.admitWaiters()
 }
 
-// leave gives a place back.
+// release releases a slot.
 func (g *dialGate) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,7 +149,7 @@
 	g.admitWaiters()
 }
 
-// ended takes in the result of a dial.
+// record adapts the limit to the result of a dial and admits waiters.
 func (g *dialGate) record(began, now time.Time, result dialResult) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,13 +157,14 @@
 	g.admitWaiters()
 }
 
-// size returns how many dials may be under way now.
+// currentLimit returns how many dials may run concurrently now.
 func (g *dialGate) currentLimit() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return int(g.limit.limit)
 }
 
+// admitWaiters gives the free slots to the first waiters. The caller holds mu.
 func (g *dialGate) admitWaiters() {
 	for len(g.queue) > 0 && g.limit.hasCapacity() {
 		close(g.queue[0])
--- a/member/events.go
+++ b/member/events.go
@@ -1,6 +1,6 @@
 package member
 
-// Event names of the log lines of taking part in the fleet.
+// Event names of the log lines of this package.
 const (
 	logMember           = "member"
 	logClaimedTwice     = "endpoint_claimed_twice"
--- a/member/spread.go
+++ b/member/gossip.go
@@ -12,83 +12,101 @@
 )
 
 const (
-	// maxFetches bounds the bundles fetched at once, each of another version.
+	// maxFetches bounds the concurrent fetches, each of a different version.
 	maxFetches = 2
-	// fetchRetry is how long a peer that failed a fetch is passed over.
+	// fetchRetryDelay is how long a peer is not fetched from after a failed fetch.
 	fetchRetryDelay = 300 * time.Millisecond
-	// refusedHold is how long a head whose bundle was refused is not fetched
-	// again, and maxRefused how many such heads are remembered. Without the
-	// first, one peer with a bad bundle would keep every other fetching it.
+	// refusedRetention is how long a head whose bundle was refused is not fetched
+	// again, and maxRefused is how many such heads are remembered. Without that,
+	// all peers of a process with a bad bundle would fetch it again and again.
 	refusedRetention = time.Minute
 	maxRefused       = 64
-	// waveSize peers are told of an adopted bundle at once and after each
-	// waveEvery, up to waveLimit peers. Each adopter does the same, so a few
-	// waves cover a fleet; exchange mends what they miss.
+	// An adopted bundle's head is sent to peers in waves of waveSize, the first at
+	// once and the others waveInterval apart, to at most maxWavePeers peers. Each
+	// process that adopts the bundle does the same, so a few waves reach a whole
+	// fleet; the exchange of hellos reaches processes that the waves miss.
 	waveSize     = 16
 	waveInterval = 100 * time.Millisecond
 	maxWavePeers = 64
-	// exchangeCycle is the time in which hellos are exchanged with each peer in
-	// turn, one at a time, at most every fastExchange and at least every
-	// slowExchange. It mends what the waves missed and finds peers that keep a
-	// connection open and do not answer.
+	// exchangeCycleTime is the time in which hellos are exchanged with all peers,
+	// one at a time; minExchangeInterval and maxExchangeInterval bound the time
+	// between two exchanges, before jitter. It distributes bundles to processes that
+	// the waves missed and detects peers that keep a connection open without
+	// replying.
 	exchangeCycleTime   = 20 * time.Second
 	minExchangeInterval = 500 * time.Millisecond
 	maxExchangeInterval = 3 * time.Second
-	// noteFanout is how many entries each process tells that a VM leaves.
+	// noteFanout is how many entries each process notifies that a VM is leaving.
 	noteFanout = 16
-	// answerEvery bounds how often one peer that is behind is told so.
+	// headReplyInterval is the least time between two replies with this process's
+	// head to a peer that sends an older one.
 	headReplyInterval = time.Second
 )
 
 // fetchOrder says to fetch the bundle of Head from the process on VM.
-type fetchOrder struct {
+type fetchTask struct {
 	VM   string
 	Head wire.BundleHead
 }
 
-// gossipEffects is what a shell does after an event.
+// gossipEffects are the actions that gossipCore requests after an event.
 type gossipEffects struct {
-	// Tell lists the VMs whose processes are to be sent the present head.
+	// SendHead lists the VMs whose processes are to be sent the current head.
 	SendHead []string
-	Fetch    []fetchOrder
+	// Fetch lists the fetches to start.
+	Fetch []fetchTask
 	// Exchange lists the VMs whose processes are to be asked for their hello.
 	Exchange []string
 }
 
-// gossipCore decides which bundles to fetch from whom, whom to tell, and how
-// this process follows the configuration service. It does no I/O; its caller
-// serialises the calls.
+// gossipCore is the state machine of the distribution of bundles between peers. It
+// decides which bundles to fetch from which peer, which peers to send the current
+// head to, and whether this process watches the configuration service. It does no
+// I/O and is not safe for concurrent use.
 type gossipCore struct {
-	rng    *rand.Rand
+	rng *rand.Rand
+	// self is the name of this process's VM, and domain is its failure domain.
 	self   string
 	domain string
 
-	head     wire.BundleHead
-	peers    map[string]*gossipPeer
-	fetching map[uint64]fetchOrder
-	refused  map[wire.BundleHead]time.Time
-	// postponed: a peer has a wanted bundle and has just failed to send it.
+	// head is that of the best bundle held here: the one in force or, during the
+	// initial collection, the best one collected.
+	head wire.BundleHead
+	// peers are the connected peers by VM name.
+	peers map[string]*gossipPeer
+	// fetching are the fetches in flight by version.
+	fetching map[uint64]fetchTask
+	// refused has the time at which the bundle of each head was refused.
+	refused map[wire.BundleHead]time.Time
+	// postponed means that a fetch waits for fetchRetryDelay of a peer to end.
 	postponed bool
-	// untold are the peers still to be told of head, in random order.
+	// unnotified are the peers to which head is still to be sent, in random order.
 	unnotified []string
+	// waveAt and exchangeAt are when the next wave and the next exchange are due.
 	waveAt     time.Time
 	exchangeAt time.Time
-	// turn holds the peers that are still to be exchanged with in this cycle.
+	// exchangeQueue has the peers that remain in this cycle of exchanges.
 	exchangeQueue []string
 
-	// fleet and entries are the numbers of VMs and of entries that share the
-	// platform's limit; fleet is at least expected, in case a list is short.
+	// fleetSize and entryCount are the numbers of VMs and of entries that share
+	// the platform's rate limit. fleetSize is at least expectedFleetSize, in case a
+	// list is incomplete.
 	expectedFleetSize int
 	fleetSize         int
 	entryCount        int
 	role              wire.Role
-	watcher           bool
+	// watcher means that this process watches the configuration service.
+	watcher bool
 }
 
+// gossipPeer is the state of one connected peer.
 type gossipPeer struct {
-	role       wire.Role
-	head       wire.BundleHead
-	failedAt   time.Time
+	role wire.Role
+	// head is the last head received from the peer.
+	head wire.BundleHead
+	// failedAt is when a fetch from the peer last failed.
+	failedAt time.Time
+	// headSentAt is when the current head was last sent in reply to an older one.
 	headSentAt time.Time
 }
 
@@ -97,13 +115,13 @@
 		rng: rng, self: self, domain: process.Domain, role: process.Role,
 		expectedFleetSize: expected, fleetSize: max(1, expected), entryCount: 1,
 		peers:    make(map[string]*gossipPeer),
-		fetching: make(map[uint64]fetchOrder),
+		fetching: make(map[uint64]fetchTask),
 		refused:  make(map[wire.BundleHead]time.Time),
 	}
 }
 
-// list takes in the platform's list and tells whether this process becomes a
-// watcher of the configuration service by it.
+// applyList applies the platform's list of VMs and reports whether this process
+// has become a watcher of the configuration service.
 func (c *gossipCore) applyList(vms []confsvc.VM) bool {
 	c.fleetSize = max(1, c.expectedFleetSize, len(vms), len(c.peers)+1)
 	c.entryCount = 0
@@ -117,8 +135,8 @@
 	return c.watcher && !wasWatcher
 }
 
-// later tells whether a process that holds b moves on to a; of two contents of
-// one version the lower hash is the later, as in bundle.Holder.
+// newerHead reports whether a process that holds b adopts a. Of two contents of
+// one version the lower hash is the newer, as in bundle.Holder.
 func newerHead(a, b wire.BundleHead) bool {
 	if a.Version != b.Version {
 		return a.Version > b.Version
@@ -126,9 +144,9 @@
 	return a.Hash < b.Hash
 }
 
-// peerUp takes in a connection and the head that its hello carried. The side
-// that accepted it need not tell its own head: its hello, which is made after
-// this call, carries it.
+// peerUp adds a connected peer and applies the head of its hello. If the peer
+// dialled the connection, the current head need not be sent to it: the hello with
+// which this process replies is built after this call and contains it.
 func (c *gossipCore) peerUp(now time.Time, vm string, hello *wire.Hello, dialed bool) gossipEffects {
 	c.peers[vm] = &gossipPeer{role: hello.Process.Role}
 	effects := c.headReceived(now, vm, hello.Bundle)
@@ -138,10 +156,11 @@
 	return effects
 }
 
-// peerDown takes in the end of the only connection to a VM.
+// peerDown removes a peer whose link has ended.
 func (c *gossipCore) peerDown(vm string) { delete(c.peers, vm) }
 
-// heard takes in a head that a peer sent.
+// headReceived applies a head received from a peer. If the peer's head is older
+// than the current one, the current head is sent in reply.
 func (c *gossipCore) headReceived(now time.Time, vm string, head wire.BundleHead) gossipEffects {
 	peer, ok := c.peers[vm]
 	if !ok {
@@ -156,9 +175,9 @@
 	return effects
 }
 
-// wanted tells whether a bundle with this head is worth fetching: a newer
-// one, or another content of the same version, which is two operators'
-// conflict and must be seen by whoever decides on offers.
+// shouldFetch reports whether to fetch the bundle with this head: one of a higher
+// version, or one of the same version with a different content. The latter is a
+// conflict between two operators, which the bundle.Holder has to see.
 func (c *gossipCore) shouldFetch(now time.Time, head wire.BundleHead) bool {
 	if head.Version == 0 || head.Version < c.head.Version || head == c.head {
 		return false
@@ -170,12 +189,13 @@
 	return !refused || now.Sub(at) >= refusedRetention
 }
 
-// plan starts the fetch of the highest wanted version, if one may start now.
-func (c *gossipCore) planFetch(now time.Time) []fetchOrder {
+// planFetch selects a random peer among those with the highest version to fetch,
+// and returns the fetch to start; nil if there is none or maxFetches are in flight.
+func (c *gossipCore) planFetch(now time.Time) []fetchTask {
 	if len(c.fetching) >= maxFetches {
 		return nil
 	}
-	var best []fetchOrder
+	var best []fetchTask
 	c.postponed = false
 	for vm, peer := range c.peers {
 		if !c.shouldFetch(now, peer.head) {
@@ -191,28 +211,29 @@
 		if len(best) > 0 && peer.head.Version > best[0].Head.Version {
 			best = best[:0]
 		}
-		best = append(best, fetchOrder{VM: vm, Head: peer.head})
+		best = append(best, fetchTask{VM: vm, Head: peer.head})
 	}
 	if len(best) == 0 {
 		return nil
 	}
-	slices.SortFunc(best, func(a, b fetchOrder) int { return cmp.Compare(a.VM, b.VM) })
-	order := best[c.rng.IntN(len(best))]
-	c.fetching[order.Head.Version] = order
-	return []fetchOrder{order}
+	slices.SortFunc(best, func(a, b fetchTask) int { return cmp.Compare(a.VM, b.VM) })
+	task := best[c.rng.IntN(len(best))]
+	c.fetching[task.Head.Version] = task
+	return []fetchTask{task}
 }
 
-// fetched takes in the end of a fetch. A fetch that failed is tried again
-// from another peer, or from the same one later.
-func (c *gossipCore) fetchDone(now time.Time, order fetchOrder, ok bool) gossipEffects {
-	delete(c.fetching, order.Head.Version)
-	if peer := c.peers[order.VM]; peer != nil && !ok {
+// fetchDone handles the end of a fetch. A failed fetch is retried from another
+// peer, or from the same one after fetchRetryDelay.
+func (c *gossipCore) fetchDone(now time.Time, task fetchTask, ok bool) gossipEffects {
+	delete(c.fetching, task.Head.Version)
+	if peer := c.peers[task.VM]; peer != nil && !ok {
 		peer.failedAt = now
 	}
 	return gossipEffects{Fetch: c.planFetch(now)}
 }
 
-// refuse remembers a head whose bundle was refused.
+// markRefused records a head whose bundle was refused, in place of the oldest such
+// head if maxRefused are recorded.
 func (c *gossipCore) markRefused(now time.Time, head wire.BundleHead) {
 	if len(c.refused) >= maxRefused {
 		c.forgetOldestRefused()
@@ -231,7 +252,7 @@
 	delete(c.refused, oldest)
 }
 
-// adopted takes in the head now in force and starts to tell the peers.
+// headAdopted sets the current head and sends it to the first wave of peers.
 func (c *gossipCore) headAdopted(now time.Time, head wire.BundleHead) gossipEffects {
 	c.head = head
 	c.unnotified = c.shuffledPeers()
@@ -239,7 +260,8 @@
 	return gossipEffects{SendHead: c.nextWave(now), Fetch: c.planFetch(now)}
 }
 
-// wave takes the next peers to be told, passing over those that have the head.
+// nextWave returns the peers of the next wave, leaving out those that have the
+// current head or a newer one.
 func (c *gossipCore) nextWave(now time.Time) []string {
 	var notify []string
 	for len(c.unnotified) > 0 && len(notify) < waveSize {
@@ -253,7 +275,7 @@
 	return notify
 }
 
-// tick does what is due and returns when it is to be called next.
+// tick returns the effects that are due and the time until its next call.
 func (c *gossipCore) tick(now time.Time) (gossipEffects, time.Duration) {
 	effects := gossipEffects{Fetch: c.planFetch(now)}
 	if len(c.unnotified) > 0 && !now.Before(c.waveAt) {
@@ -276,7 +298,8 @@
 	return effects, max(next, time.Millisecond)
 }
 
-// nextInTurn takes the next peer of the cycle.
+// nextExchange returns the next peer to exchange hellos with, if there is one, and
+// starts a new cycle when the last has ended.
 func (c *gossipCore) nextExchange() []string {
 	if len(c.exchangeQueue) == 0 {
 		c.exchangeQueue = c.shuffledPeers()
@@ -291,15 +314,15 @@
 	return nil
 }
 
-// shuffledPeers lists the peers in random order.
+// shuffledPeers returns the VM names of the peers in random order.
 func (c *gossipCore) shuffledPeers() []string {
 	names := slices.Sorted(maps.Keys(c.peers))
 	c.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names
 }
 
-// noteTargets are the peers to be told that a VM leaves: its own process, and
-// entries, which pass it on.
+// noteTargets returns the peers to notify that a VM is leaving: the process on that
+// VM and up to noteFanout entries, which forward the notification.
 func (c *gossipCore) noteTargets(leaving string) []string {
 	var targets []string
 	for _, vm := range c.shuffledPeers() {
--- a/member/links.go
+++ b/member/links.go
@@ -10,38 +10,42 @@
 )
 
 const (
-	// crossWindow is the time within which two connections of one pair count
-	// as dialled at once by both sides. Later, a second one means that the
-	// other side has lost the first.
+	// simultaneousDialWindow is the time within which two connections between a
+	// pair of processes, one dialled by each side, count as dialled
+	// simultaneously. A second connection after that means that the peer has
+	// lost the first.
 	simultaneousDialWindow = 2 * time.Second
 	// maxSuperseded is how many earlier incarnations of a VM's process are
-	// remembered, so that one that wakes from a pause does not come back.
+	// remembered, so that one that resumes from a pause is refused.
 	maxSuperseded = 4
-	// maxSupersededVMs bounds the VMs for which they are remembered.
+	// maxSupersededVMs bounds the VMs whose earlier incarnations are remembered.
 	maxSupersededVMs = 4096
 )
 
-// link is the connection in use to one VM's process.
+// link is the connection in use to the process on a VM.
 type link struct {
 	vm      string
 	process wire.Process
 	conn    *peer.Conn
-	since   time.Time
-	// gone is closed when the link is no longer the one in use; the connection
-	// may outlive it.
+	// since is when the connection became the one in use.
+	since time.Time
+	// gone is closed when the link is no longer in use; its connection may stay
+	// open for longer.
 	gone chan struct{}
-	// wake makes the link's sender send the present head; it holds one, so a
-	// slow peer never has more than one head waiting.
+	// wake triggers sendHeads to send the current head. Its capacity is one, so
+	// at most one head is pending for a slow peer.
 	wake chan struct{}
 }
 
-// links holds at most one connection for each VM.
+// links holds at most one link for each VM.
 type links struct {
+	// self is the name of this process's VM.
 	self string
 
-	mu         sync.RWMutex
-	byVM       map[string]*link
-	byConn     map[*peer.Conn]*link
+	mu     sync.RWMutex
+	byVM   map[string]*link
+	byConn map[*peer.Conn]*link
+	// superseded has the earlier incarnations of each VM's process, oldest first.
 	superseded map[string][]string
 }
 
@@ -54,20 +58,22 @@
 	}
 }
 
-// admission is what became of a new connection.
+// admission is the decision on a new connection.
 type admission struct {
-	// Link is nil if the connection is not to be used.
+	// Link is the link of the new connection; nil if the connection is not used.
 	Link *link
-	// Retire is the connection that is not to be used any more: the new one,
-	// or the one whose place it takes. It is nil if there is none.
+	// Retire is the connection to retire: the new one, or the one that it
+	// replaces. It is nil if there is none.
 	Retire *peer.Conn
-	// Stale: the new connection is from an earlier run of the VM's process,
-	// as one that wakes from a pause after its successor was started.
-	Stale  bool
+	// Stale means that the new connection is from an earlier incarnation of the
+	// VM's process, for example one that resumes from a pause after its successor
+	// was started.
+	Stale bool
+	// Reason explains Retire or Stale in the log.
 	Reason string
 }
 
-// admit decides on a new connection.
+// admit decides whether a new connection is used, and registers its link if so.
 func (l *links) admit(now time.Time, conn *peer.Conn, hello *wire.Hello) admission {
 	vm := helloVM(hello)
 	l.mu.Lock()
@@ -98,10 +104,12 @@
 	return admission{Link: fresh, Retire: old.conn, Reason: "another connection took its place"}
 }
 
-// replaces decides which of two connections to one VM stays. Both ends should
-// decide alike: of two that were dialled at once from both sides, the preferred
-// side's stays. If they do not, as when they see the two at different times,
-// each retires one and tells the other, both are left without, and dial again.
+// replaces reports whether a new connection to a VM replaces the old one. Both
+// processes should keep the same connection: of two that were dialled
+// simultaneously from both sides, it is the one dialled by the preferred side
+// (see prefersDial). If they decide differently, for example because they see the
+// connections at different times, each retires one and notifies the other, so
+// that both are left without a connection and dial again.
 func (l *links) replaces(now time.Time, old *link, conn *peer.Conn, hello *wire.Hello) bool {
 	if old.process.Incarnation != hello.Process.Incarnation {
 		return true
@@ -112,9 +120,11 @@
 	return conn.Dialed() == prefersDial(l.self, helloVM(hello))
 }
 
-// prefersDial tells which VM of a pair dials when both may.
+// prefersDial reports whether self, rather than other, is the preferred side to
+// dial when both VMs of a pair may.
 func prefersDial(self, other string) bool { return self < other }
 
+// supersede records an earlier incarnation of a VM's process. The caller holds mu.
 func (l *links) supersede(vm, incarnation string) {
 	if _, ok := l.superseded[vm]; !ok && len(l.superseded) >= maxSupersededVMs {
 		for other := range l.superseded {
@@ -126,8 +136,8 @@
 	l.superseded[vm] = list[max(0, len(list)-maxSuperseded):]
 }
 
-// remove forgets a connection that ended, or that the other side retired, and returns its link, or nil if it
-// was not in use.
+// remove removes a connection that ended or that the peer retired, and returns its
+// link, or nil if the connection was not in use.
 func (l *links) remove(conn *peer.Conn) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,12 +151,14 @@
 	return gone
 }
 
+// get returns the link to a VM, or nil.
 func (l *links) get(vm string) *link {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.byVM[vm]
 }
 
+// forConn returns the link of a connection, or nil if the connection is not in use.
 func (l *links) forConn(conn *peer.Conn) *link {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -159,7 +171,7 @@
 	return len(l.byVM)
 }
 
-// conns lists the connections to processes of a role, sorted by VM.
+// conns returns the connections to processes of a role, sorted by VM name.
 func (l *links) conns(role wire.Role) []*peer.Conn {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -177,6 +189,7 @@
 	return conns
 }
 
+// helloVM returns the VM name in a hello, or the process name if it has none.
 func helloVM(hello *wire.Hello) string {
 	if hello.VM != "" {
 		return hello.VM
--- a/member/lister.go
+++ b/member/lister.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// platformTimeout bounds one read of the platform altogether. The client ends
-	// one sooner when the service is silent.
+	// platformTimeout bounds one whole read from the platform. The client aborts a
+	// read sooner when the service sends nothing.
 	platformTimeout = confsvc.WholeReply
-	// startRate is how many processes a second of a fleet that starts or wakes
-	// as one read the list first, and as many the bundle.
+	// startupReadsPerSecond is the rate of first reads of the list of VMs, and as
+	// many of the bundle, by a fleet whose processes all start or resume together.
 	startupReadsPerSecond = 500
 )
 
-// firstDelay spreads the first reads of a fleet of that size.
+// startupDelay returns a random delay before the first read, which spreads the
+// first reads of a fleet of the given size at startupReadsPerSecond.
 func startupDelay(fleet int) time.Duration {
 	return time.Duration(rand.Float64() * float64(fleet) * float64(time.Second) / startupReadsPerSecond)
 }
 
-// listLoop follows the platform's list of VMs. A failed read keeps the last view.
+// listLoop reads the platform's list of VMs periodically. When a read fails, the
+// last list stays in use.
 func (s *Service) listLoop() {
 	if !s.sleep(startupDelay(s.cfg.FleetSize)) {
 		return
@@ -42,6 +44,8 @@
 	}
 }
 
+// readList reads the list of VMs once, applies it, publishes the view, and
+// notifies peers of VMs that are newly listed as leaving.
 func (s *Service) readList() {
 	s.coreMu.Lock()
 	epoch := s.epoch
@@ -58,7 +62,7 @@
 		s.cfg.Log.Debug().Str("event", logListNotRead).Err(err).Msg("list of VMs not read; keeping the last view")
 	}
 	s.coreMu.Lock()
-	// A list that was asked for before a pause is as old as the pause.
+	// A list that was requested before a pause may be as old as the pause.
 	if epoch != s.epoch {
 		s.coreMu.Unlock()
 		signal(s.listWake)
@@ -82,9 +86,9 @@
 	s.sendVMNotes(notes)
 }
 
-// noteListTried makes the process ready as far as the list is concerned. It
-// follows the publication of the view: ready before it, a process that woke
-// would route by the view from before its pause.
+// markListTried fulfils the list's condition of Ready. It must run after the view
+// has been published: otherwise a process that resumed from a pause would be
+// ready, and route requests, with the view from before the pause.
 func (s *Service) markListTried(epoch uint64) {
 	s.coreMu.Lock()
 	defer s.coreMu.Unlock()
--- a/member/notes.go
+++ b/member/notifications.go
@@ -8,13 +8,14 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// exchangeTimeout is how long a peer may take to answer with its hello. One
-// that is stopped, or cut off without a reset, keeps its connection open much
-// longer; closing it shows the VM as unreachable until a new one succeeds.
+// exchangeTimeout is how long a peer may take to reply to a hello. A peer that is
+// stopped, or partitioned without a TCP reset, would otherwise keep its connection
+// open for much longer. Once the connection is closed, the VM shows as unreachable
+// until a new connection succeeds.
 const exchangeTimeout = 5 * time.Second
 
-// Announce sends the own report to all connected entries, as when the agent
-// begins to drain.
+// Announce sends this agent's report to all connected entries, for example when
+// the agent starts to drain. It does nothing if Config.Report is nil.
 func (s *Service) Announce() {
 	if s.cfg.Report == nil {
 		return
@@ -32,7 +33,9 @@
 	s.handleReport(report)
 }
 
-// exchange asks a peer for its hello, which carries its head and report.
+// exchange exchanges hellos with a peer, which carry the bundle head and the
+// report of each side. It closes the connection if the peer does not reply within
+// exchangeTimeout.
 func (s *Service) exchange(vm string) {
 	l := s.links.get(vm)
 	if l == nil {
@@ -64,7 +67,8 @@
 	}
 }
 
-// onVMNote takes in that a VM leaves and passes it on once.
+// onVMNote applies a notification that a VM is leaving, and forwards it if the VM
+// was not known to be leaving.
 func (s *Service) onVMNote(_ *peer.Conn, note wire.VMNote) {
 	s.coreMu.Lock()
 	changed := s.views.applyNote(&note)
@@ -76,6 +80,7 @@
 	s.sendVMNotes([]wire.VMNote{note})
 }
 
+// sendVMNotes notifies peers of VMs that are leaving.
 func (s *Service) sendVMNotes(notes []wire.VMNote) {
 	for _, note := range notes {
 		s.gossipMu.Lock()
--- a/member/pause.go
+++ b/member/pause.go
@@ -6,13 +6,14 @@
 	"github.com/mangostage/mangostage/internal/pause"
 )
 
-// reconnectWait is how long a process that woke waits for its peers before it
-// counts as ready without any.
+// reconnectWait is how long a process that resumed from a pause waits for a peer
+// connection before it may be ready without one.
 const reconnectWait = 3 * time.Second
 
-// pauseLoop notices that the process was stopped for a while, as by a signal
-// or a migration of its VM. The guard drops all connections, with what they hold
-// unread, and makes the process unready until it has read the list again.
+// pauseLoop detects that the process was paused for a while, for example by a
+// signal or a migration of its VM. Each pause triggers onWake, which drops all
+// connections together with their unread data, and makes the process not ready
+// until it has read the list of VMs again.
 func (s *Service) pauseLoop() {
 	ticker := time.NewTicker(pause.TickEvery)
 	defer ticker.Stop()
@@ -26,10 +27,11 @@
 	}
 }
 
-// Stalled tells whether the process was paused just now and has not yet dealt
-// with it. It is asked before each irreversible step.
+// Stalled reports whether the process was paused and has not yet recovered from
+// the pause. It must be checked before each irreversible step.
 func (s *Service) Stalled() bool { return s.pauses.Stalled() }
 
+// onWake runs when the process has resumed from a pause of length gap.
 func (s *Service) onWake(gap time.Duration) {
 	s.stats.Wakes.Add(1)
 	woke := s.cfg.Now()
@@ -45,8 +47,8 @@
 	signal(s.listWake)
 }
 
-// reconnected tells whether the process has dealt with its last pause as far
-// as its peers allow.
+// reconnected reports whether the process has a peer connection again after its
+// last pause, or need not wait for one any longer.
 func (s *Service) reconnected() bool {
 	woke := s.wokeAt.Load()
 	return woke == nil || s.links.count() > 0 || len(s.targets()) == 0 || s.cfg.Now().Sub(*woke) > reconnectWait
--- a/member/rendezvous.go
+++ b/member/rendezvous.go
@@ -9,15 +9,15 @@
 	"github.com/mangostage/mangostage/confsvc"
 )
 
-// watchersPerDomain is how many processes of each failure domain keep a watch
-// on the configuration service. Two, so that one death leaves the domain a
-// watcher until the list shows the loss.
+// watchersPerDomain is how many processes of each failure domain watch the
+// configuration service. With two, the domain still has a watcher when one of
+// them dies, until the list of VMs shows the loss.
 const watchersPerDomain = 2
 
 // Watchers returns the VMs of a failure domain that watch the configuration
-// service, by rendezvous hash over the VMs listed as live. Processes that hold
-// the same list agree without a message, and a VM that joins or leaves moves
-// at most one of the places.
+// service, selected by rendezvous hashing of the VMs listed as live. Processes with
+// the same list get the same result without communication, and a VM that joins or
+// leaves changes at most one of the watchers.
 func Watchers(vms []confsvc.VM, domain string) []string {
 	type ranked struct {
 		name  string
--- a/member/service.go
+++ b/member/service.go
@@ -14,7 +14,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Service takes part in the fleet for one process.
+// Service maintains the membership of one process in the fleet.
 type Service struct {
 	cfg   Config
 	node  *peer.Node
@@ -22,47 +22,60 @@
 	dials *dialGate
 	stats Stats
 
-	// coreMu guards views and leaving; it is never held during I/O.
-	coreMu  sync.Mutex
-	views   *viewCore
+	// coreMu guards views, leaving and epoch; it is never held during I/O.
+	coreMu sync.Mutex
+	views  *viewCore
+	// leaving means that this process's VM was leaving at the last publish.
 	leaving bool
-	// epoch grows with each detected pause; what was read in an earlier one is dropped.
+	// epoch is incremented at each detected pause; a list that was requested in
+	// an earlier epoch is discarded.
 	epoch uint64
 
+	// gossipMu guards gossip.
 	gossipMu sync.Mutex
 	gossip   *gossipCore
 
-	// publishMu keeps an older view from taking the place of a newer one.
+	// publishMu serialises publish, so that an older view never replaces a newer one.
 	publishMu sync.Mutex
 
-	// offerMu orders offers, so that OnBundle sees adoptions in order.
+	// offerMu serialises offers, so that OnBundle is called in the order of adoption.
 	offerMu sync.Mutex
 
-	view           atomic.Pointer[View]
-	listTried      atomic.Bool
+	// view is the view that was published last.
+	view atomic.Pointer[View]
+	// listTried means that a read of the list of VMs has succeeded or failed
+	// since the start or the last pause.
+	listTried atomic.Bool
+	// collectionDone means that the initial collection of bundle offers has ended.
 	collectionDone atomic.Bool
-	// inForce is set once OnBundle has returned for the first bundle.
+	// bundleInForce means that OnBundle has returned for the first bundle.
 	bundleInForce atomic.Bool
+	// platformTried means that the first read of the bundle from the platform has
+	// succeeded or failed.
 	platformTried atomic.Bool
-	wokeAt        atomic.Pointer[time.Time]
-	pauses        *pause.Watch
+	// wokeAt is when the last pause was detected; nil if there was none.
+	wokeAt atomic.Pointer[time.Time]
+	pauses *pause.Watch
 
+	// The channels from dirty to collectWake have capacity one; each wakes one loop.
 	dirty       chan struct{}
 	gossipWake  chan struct{}
 	listWake    chan struct{}
 	dialWake    chan struct{}
 	bundleWake  chan struct{}
 	collectWake chan struct{}
-	fetchSlots  chan struct{}
+	// fetchSlots holds an element for each bundle that is being sent to a peer.
+	fetchSlots chan struct{}
 
+	// ctx is cancelled by Stop.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// stopMu orders the start of goroutines before the wait for them.
+	// stopMu prevents spawn from adding to wg while Stop waits on it.
 	stopMu sync.Mutex
 	wg     sync.WaitGroup
 }
 
-// New returns a service that has registered its methods on cfg.Mux and not yet started.
+// New returns a Service that is not started yet, and registers its methods on cfg.Mux.
 func New(cfg Config) *Service {
 	cfg.setDefaults()
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -95,8 +108,8 @@
 	return s
 }
 
-// Start listens for peers and begins to follow the platform. It returns the
-// bound address and does not wait for readiness.
+// Start listens for peers and starts the loops of the service. It returns the
+// bound address and does not wait until the service is ready.
 func (s *Service) Start(ctx context.Context) (net.Addr, error) {
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	s.pauses.Tick()
@@ -112,7 +125,8 @@
 	return addr, nil
 }
 
-// spawn runs fn in a goroutine that Stop waits for; once stopping, it does not.
+// spawn runs fn in a goroutine for which Stop waits. It does nothing once the
+// service is stopping.
 func (s *Service) spawn(fn func()) {
 	s.stopMu.Lock()
 	defer s.stopMu.Unlock()
@@ -121,7 +135,8 @@
 	}
 }
 
-// Stop ends all connections and waits until nothing of the service runs.
+// Stop closes all connections and waits until all goroutines of the service have
+// ended.
 func (s *Service) Stop() {
 	s.stopMu.Lock()
 	s.cancel()
@@ -130,22 +145,23 @@
 	s.wg.Wait()
 }
 
-// StopListening refuses new connections and keeps the open ones.
+// StopListening stops accepting peer connections and keeps the open ones.
 func (s *Service) StopListening() { s.node.StopListening() }
 
-// DropConnections closes every connection to peers, which are dialled anew. A
-// process that finds that it was stopped calls it, so that messages that waited
-// in socket buffers die unread.
+// DropConnections closes all peer connections; they are dialled again. A process
+// calls it after it was paused, to discard unread messages that arrived during
+// the pause.
 func (s *Service) DropConnections() {
 	for _, conn := range s.node.DropAll() {
 		s.onClose(conn)
 	}
 }
 
-// View returns the present view.
+// View returns the current view.
 func (s *Service) View() *View { return s.view.Load() }
 
-// Agent returns the connection to the agent that owns the endpoint.
+// Agent returns the connection to the agent that owns the endpoint, and whether
+// there is one.
 func (s *Service) Agent(endpoint string) (*peer.Conn, bool) {
 	m, ok := s.View().Endpoint(endpoint)
 	if !ok {
@@ -164,10 +180,12 @@
 // Agents returns the connections to agents, sorted by VM name.
 func (s *Service) Agents() []*peer.Conn { return s.links.conns(wire.RoleAgent) }
 
-// Ready tells whether a bundle is in force and the list was tried since the
-// start. After a pause of the process it also waits for a peer to connect.
+// Ready reports whether a bundle is in force and a read of the list of VMs has
+// succeeded or failed since the start or the last pause. After a pause it also
+// requires a peer connection, for at most reconnectWait.
 func (s *Service) Ready() bool {
-	// Stalled comes first: once it is false, the rest tells of the time after the pause.
+	// Stalled must be checked first: once it is false, the other conditions
+	// refer to the time after the pause.
 	if s.Stalled() || !s.collectionDone.Load() || !s.listTried.Load() {
 		return false
 	}
@@ -182,8 +200,8 @@
 	return h
 }
 
-// Observe takes in a report that came by another way, as with the reply to a
-// stage call.
+// Observe applies an agent's report to the view. Besides hellos and notifications,
+// reports may arrive in other messages, for example in the reply to a stage call.
 func (s *Service) Observe(report wire.AgentReport) {
 	s.coreMu.Lock()
 	changed := s.views.observe(s.cfg.Now(), &report)
@@ -195,7 +213,8 @@
 
 func (s *Service) markDirty() { signal(s.dirty) }
 
-// signal wakes the receiver of a channel that holds one.
+// signal wakes the receiver of a channel of capacity one; a pending signal
+// absorbs further ones.
 func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -203,8 +222,9 @@
 	}
 }
 
-// publishEvery bounds how often the view is rebuilt; a fleet that connects at
-// once would otherwise cost a rebuild for each connection.
+// minPublishInterval is the least time between two rebuilds of the view by
+// publishLoop. Without it, a fleet that connects all at once would cause a
+// rebuild for each connection.
 const minPublishInterval = 5 * time.Millisecond
 
 func (s *Service) publishLoop() {
@@ -221,7 +241,8 @@
 	}
 }
 
-// publish makes the view anew and tells of what changed.
+// publish rebuilds the view, logs and publishes what changed, and calls OnLeaving
+// if this process's VM started or stopped leaving.
 func (s *Service) publish() {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
@@ -256,7 +277,7 @@
 	}
 }
 
-// sleep waits for d and tells whether the service goes on.
+// sleep waits for d. It returns false, at once, if the service is stopping.
 func (s *Service) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -268,7 +289,8 @@
 	}
 }
 
-// sleepUnless is sleep that also ends when wake is signalled.
+// sleepOrWake waits until d has passed or wake is signalled. It returns false, at
+// once, if the service is stopping.
 func (s *Service) sleepOrWake(d time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/member/source.go
+++ b/member/source.go
@@ -13,31 +13,38 @@
 )
 
 const (
-	// watchWait is how long one watch of the configuration service waits.
+	// watchTimeout is how long the configuration service holds one watch open if
+	// the value does not change.
 	watchTimeout = 30 * time.Second
-	// watchGap is the least time between two watches, so that a service that
-	// answers at once, as a stale replica may, is not called without end.
+	// minWatchInterval is the least time between two calls. Without it, a service
+	// that replies to each watch at once, as a stale replica may, would be called
+	// in a tight loop.
 	minWatchInterval = 500 * time.Millisecond
-	// brokenRetry is the wait before a value that cannot be used is read again.
+	// unusableRetryDelay is the delay before an unusable value is read again.
 	unusableRetryDelay = time.Second
-	// firstRewatch and slowestRewatch bound the wait after a failed call.
+	// minRetryDelay and maxRetryDelay bound the backoff after a failed call.
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 15 * time.Second
 )
 
-// source follows the bundle's value in the configuration service.
+// bundleSource reads and watches the bundle in the configuration service and
+// offers each new value.
 type bundleSource struct {
-	s        *Service
+	s *Service
+	// revision is the revision of the last usable value; a watch waits for a
+	// higher one.
 	revision uint64
-	// offered is the hash of the value offered last; the same is not offered twice.
+	// lastOffered is the hash of the last value offered, which is not offered again.
 	lastOffered uint64
-	// broken: the value offered last was no bundle that an operator signed.
-	unusable     bool
+	// unusable means that the last value offered was malformed or lacked a valid
+	// signature of an operator.
+	unusable bool
+	// retryBackoff gives the delays after failed calls.
 	retryBackoff *backoff.ExponentialBackOff
 }
 
-// platformLoop reads the bundle once, then watches or polls it, whichever the
-// spread core says this process is to do.
+// platformLoop reads the bundle once and then watches it, if the gossip core has
+// selected this process as a watcher, or else polls it.
 func (s *Service) platformLoop() {
 	src := &bundleSource{s: s, retryBackoff: backoff.NewExponentialBackOff()}
 	src.retryBackoff.InitialInterval = minRetryDelay
@@ -57,8 +64,8 @@
 		if !watcher {
 			wait = max(minDelay, pollDelay)
 		}
-		// A wake only looks at the schedule anew; many processes that lose
-		// their peers at once must not all read at once.
+		// A wake-up only recomputes the delay and does not call at once, or many
+		// processes that lose their peers together would all read together.
 		if remaining := wait - time.Since(lastCall); remaining > 0 {
 			if !s.sleepOrWake(remaining, s.bundleWake) {
 				return
@@ -96,9 +103,11 @@
 	return src.handleResult(value, err)
 }
 
+// handleResult processes the result of a call and returns the least time to the
+// next call.
 func (src *bundleSource) handleResult(value confsvc.Value, err error) time.Duration {
 	if err != nil {
-		if !src.s.isStopping(err) {
+		if !src.s.canceledByStop(err) {
 			src.s.stats.PlatformFailures.Add(1)
 			src.s.cfg.Log.Debug().Str("event", logConfigNotRead).Err(err).Msg("configuration service not read")
 		}
@@ -110,20 +119,22 @@
 		src.lastOffered = hash
 		src.unusable = possiblyPartial[src.s.offer(value.Data, "platform").Result]
 	}
-	// A value that was read half written may be whole in a moment under the same
-	// revision, and a watch from that revision on would not end before its time
-	// is over: the version would be in force half a minute late. So the revision
-	// does not count as seen, and the value is read again soon.
+	// A value that was read while being written may soon be complete under the
+	// same revision. A watch after that revision would only return at its
+	// timeout, and the version would be in force half a minute late. So the
+	// revision is not recorded as seen, and the value is read again soon.
 	if src.unusable {
 		return unusableRetryDelay
 	}
-	// The revision seen last counts even if it is lower: a service that was
-	// restored starts again, and a watch beyond its revision would never end early.
+	// The revision is recorded even if it is lower than before: a service that
+	// was restored counts its revisions anew, and a watch after a higher revision
+	// would never return before its timeout.
 	src.revision = value.Revision
 	return minWatchInterval
 }
 
-// unreadable are the results of a value that may be a part of a good one.
+// possiblyPartial has the results of offers whose value may be an incompletely
+// written bundle.
 var possiblyPartial = map[bundle.AdoptionResult]bool{
 	bundle.ResultMalformed:    true,
 	bundle.ResultBadSignature: true,
--- a/member/stats.go
+++ b/member/stats.go
@@ -2,26 +2,30 @@
 
 import "sync/atomic"
 
-// Stats counts what taking part in the fleet costs.
+// Stats has the counters of a Service.
 type Stats struct {
-	// Calls to the platform, and how many of all of them failed.
+	// ListCalls, ReadCalls and WatchCalls count the calls to the platform;
+	// PlatformFailures counts those of all kinds that failed.
 	ListCalls, ReadCalls, WatchCalls, PlatformFailures atomic.Int64
-	// PlatformBytes is the size of the values read.
+	// PlatformBytes is the total size in bytes of the values read from the platform.
 	PlatformBytes atomic.Int64
-	// Fetches of bundles from peers, how many failed, and how many were served
-	// or turned away because too many were being served.
+	// Fetches counts fetches of bundles from peers, and FetchFailures those that
+	// failed. FetchesServed counts bundles served to peers, and FetchesRefused
+	// fetches refused because maxServedFetches were being served.
 	Fetches, FetchFailures, FetchesServed, FetchesRefused atomic.Int64
-	// BundleBytesIn and BundleBytesOut are the sizes of bundles fetched and served.
+	// BundleBytesIn and BundleBytesOut are the total sizes in bytes of the bundles
+	// fetched and served.
 	BundleBytesIn, BundleBytesOut atomic.Int64
-	// HeadsSent and HeadsReceived are notifications of a bundle's head.
+	// HeadsSent and HeadsReceived count notifications of a bundle's head.
 	HeadsSent, HeadsReceived atomic.Int64
-	// Adopted and Refused count offered bundles.
+	// Adopted and Refused count the offered bundles that were adopted and refused.
 	Adopted, Refused atomic.Int64
-	// Dials, DialFailures, and Wakes (detected pauses of the process).
+	// Dials and DialFailures count dials; Wakes counts detected pauses of the process.
 	Dials, DialFailures, Wakes atomic.Int64
 }
 
-// StatsSnapshot is Stats at one time, for expvar.
+// StatsSnapshot has the values of Stats and of the counters of peer connections at
+// one time. It is published through expvar.
 type StatsSnapshot struct {
 	ListCalls        int64 `json:"list_calls"`
 	ReadCalls        int64 `json:"read_calls"`
@@ -40,7 +44,7 @@
 	Refused          int64 `json:"refused"`
 	Dials            int64 `json:"dials"`
 	DialFailures     int64 `json:"dial_failures"`
-	// DialLimit is how many dials may be under way at present.
+	// DialLimit is the current limit of concurrent dials.
 	DialLimit       int   `json:"dial_limit"`
 	Wakes           int64 `json:"wakes"`
 	PeerBytesIn     int64 `json:"peer_bytes_in"`
@@ -48,12 +52,12 @@
 	PeerMessagesIn  int64 `json:"peer_messages_in"`
 	PeerMessagesOut int64 `json:"peer_messages_out"`
 	PeerRejected    int64 `json:"peer_rejected"`
-	// PeerHandshakesRefused counts connections of strangers, who had no
-	// certificate of the authorities.
+	// PeerHandshakesRefused counts incoming connections whose TLS handshake failed,
+	// for example for lack of a valid certificate.
 	PeerHandshakesRefused int64 `json:"peer_handshakes_refused"`
 }
 
-// Stats returns the counters, those of the peer connections included.
+// Stats returns the counters, including those of the peer connections.
 func (s *Service) Stats() StatsSnapshot {
 	st, traffic := &s.stats, &s.node.Traffic
 	return StatsSnapshot{
--- a/member/view.go
+++ b/member/view.go
@@ -9,41 +9,50 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// State is what this process believes of a VM.
+// State is the state of a VM as seen by this process.
 type State string
 
 // The states of a VM.
 const (
-	// StateLive VMs take work.
+	// StateLive means that the VM takes work.
 	StateLive State = "live"
-	// StateLeaving VMs take no new work: the list, a peer's reading of the
-	// list, or the VM's own process says so.
+	// StateLeaving means that the VM takes no new work, according to the list of
+	// VMs, a peer that read the list, or the VM's own process.
 	StateLeaving State = "leaving"
-	// StateUnreachable VMs are listed, but connecting to them failed.
+	// StateUnreachable means that the VM is not connected and either the last dial
+	// failed or the VM is not listed.
 	StateUnreachable State = "unreachable"
 )
 
 // Member is one VM in a View.
 type Member struct {
-	VM     confsvc.VM
-	State  State
+	// VM is the VM's entry in the last list that contained it. If the VM was not
+	// listed when its process connected, the role, failure domain, endpoint and pool
+	// are those of the process's hello.
+	VM    confsvc.VM
+	State State
+	// Reason explains State.
 	Reason string
-	// Listed is false for a VM known only by its connection.
-	Listed    bool
+	// Listed means that the last list contains the VM; a VM may be known by its
+	// connection only.
+	Listed bool
+	// Connected means that there is a link to the VM's process.
 	Connected bool
-	// Process is the one connected now or last.
+	// Process is the process on the VM that is connected or was connected last.
 	Process wire.Process
-	// Report is the latest from the VM's agent; zero until the first.
+	// Report is the latest report of the VM's agent, received at ReportedAt; both
+	// are zero until the first.
 	Report     wire.AgentReport
 	ReportedAt time.Time
 }
 
-// View is everything this process believes of the fleet at one time. It is
+// View is the state of the fleet as known to this process at one time. It is
 // immutable.
 type View struct {
+	// At is when the view was built.
 	At time.Time
-	// ListedAt is when the list was last read; zero before the first time and
-	// after a pause of the process.
+	// ListedAt is when the list of VMs was last read; zero before the first read
+	// and after a pause of the process until the next read.
 	ListedAt time.Time
 	// Members is sorted by VM name.
 	Members []Member
@@ -52,7 +61,7 @@
 	byEndpoint map[string]int
 }
 
-// VM returns the member of that VM name.
+// VM returns the member with the VM name, and whether there is one.
 func (v *View) VM(name string) (Member, bool) {
 	i, ok := v.byVM[name]
 	if !ok {
@@ -61,7 +70,7 @@
 	return v.Members[i], true
 }
 
-// Endpoint returns the member that carries the endpoint.
+// Endpoint returns the member that owns the endpoint, and whether there is one.
 func (v *View) Endpoint(name string) (Member, bool) {
 	i, ok := v.byEndpoint[name]
 	if !ok {
@@ -85,9 +94,9 @@
 	return members
 }
 
-// newView indexes members. When two VMs claim an endpoint, the listed one
-// owns it, then the connected one, then the first by name. The claims that
-// lost are returned.
+// newView builds a view, sorting members in place. If several VMs claim an
+// endpoint, a listed VM takes precedence, then a connected one, then the first by
+// name. The claims of the others are returned.
 func newView(at, listedAt time.Time, members []Member) (*View, []Claim) {
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.VM.Name, b.VM.Name) })
 	v := &View{
@@ -125,6 +134,7 @@
 	VM       string
 }
 
+// claimRank returns the precedence of a member's claim to an endpoint; higher wins.
 func claimRank(m *Member) int {
 	rank := 0
 	if m.Listed {
--- a/member/viewcore.go
+++ b/member/viewcore.go
@@ -9,48 +9,58 @@
 )
 
 const (
-	// leavingHold is how long the list must say live, without a break, before
-	// a VM that was leaving counts as live again. The list carries no
-	// revision, so an old copy that still says live looks like a newer one.
-	// What remains: a list that stays older than the leaving for longer than
-	// this brings the VM back, unless its own process says that it drains.
+	// leavingHoldTime is how long every list must show a leaving VM as live before
+	// it counts as live again. The list has no revision, so a stale copy that
+	// still shows the VM as live can't be told from a newer one. One case remains:
+	// if the lists are stale for longer than this, the VM counts as live again
+	// unless its own process reports that it is draining.
 	leavingHoldTime = 2 * time.Minute
-	// absentHold is how long a VM is kept, and dialled, that is neither listed
-	// nor connected. A stale list may predate the VM.
+	// absentRetention is how long a VM that is neither listed nor connected is kept
+	// and dialled. A stale list may be older than the VM.
 	absentRetention = 30 * time.Second
 )
 
-// viewCore makes a View of lists, connections and reports. It does no I/O;
-// its caller serialises the calls.
+// viewCore builds views from lists of VMs, connections and reports. It does no I/O
+// and is not safe for concurrent use.
 type viewCore struct {
-	self          string
-	members       map[string]*memberState
-	byProcess     map[wire.Process]*memberState
-	listedAt      time.Time
+	// self is the name of this process's VM.
+	self string
+	// members has the known VMs by name.
+	members map[string]*memberState
+	// byProcess has the same VMs by the process that is connected or was last.
+	byProcess map[wire.Process]*memberState
+	// listedAt is as View.ListedAt.
+	listedAt time.Time
+	// ignoredClaims has the claims that the last view ignored.
 	ignoredClaims map[Claim]bool
 }
 
-// memberState is what is known of one VM.
+// memberState is the state of one VM.
 type memberState struct {
 	vm     confsvc.VM
 	listed bool
-	// goneAt is when the VM was last listed or connected, while it is neither.
+	// missingSince is when the VM was found to be neither listed nor connected;
+	// zero while it is listed or connected.
 	missingSince time.Time
-	// leaving is sticky; liveSince is the start of the unbroken run of lists
-	// that say live after it.
+	// leaving means that the VM is leaving. It is sticky: lists that show the VM as
+	// live reset it only after leavingHoldTime, or if the VM was replaced.
 	leaving       bool
 	leavingReason string
-	// leavingRun is the incarnation that was known when the VM began to leave;
-	// empty if none was.
+	// leavingIncarnation is the incarnation of the VM's process that was known when
+	// the VM started leaving; empty if none was.
 	leavingIncarnation string
-	liveSince          time.Time
+	// liveSince is when the first of an unbroken series of lists showed the leaving
+	// VM as live; zero if the last one did not.
+	liveSince time.Time
 
-	connected  bool
+	connected bool
+	// dialFailed means that the last dial failed.
 	dialFailed bool
 	process    wire.Process
 	report     wire.AgentReport
 	reportedAt time.Time
 
+	// publishedState is the state of the last event about the VM; empty before the first.
 	publishedState State
 }
 
@@ -63,6 +73,7 @@
 	}
 }
 
+// member returns the state of a VM, which it adds if it is not known.
 func (c *viewCore) member(name string) *memberState {
 	m, ok := c.members[name]
 	if !ok {
@@ -72,8 +83,8 @@
 	return m
 }
 
-// list takes in a list that was read at now and returns the VMs that it newly
-// shows as leaving.
+// applyList applies a list of VMs that was read at now. It returns a notification
+// for each VM that has started leaving.
 func (c *viewCore) applyList(now time.Time, vms []confsvc.VM) []wire.VMNote {
 	c.listedAt = now
 	var notes []wire.VMNote
@@ -95,7 +106,8 @@
 	return notes
 }
 
-// listOne takes in one line and tells whether the VM newly leaves.
+// applyListEntry applies one entry of the list and reports whether the VM has
+// started leaving.
 func (c *viewCore) applyListEntry(now time.Time, vm confsvc.VM) bool {
 	m := c.member(vm.Name)
 	if m.vm.Address != vm.Address {
@@ -116,19 +128,21 @@
 	return false
 }
 
-// replaced tells whether a VM that was leaving has been replaced by one of the
-// same name: another run of its process is connected, and the list says live.
+// replaced reports whether a leaving VM has been replaced by one of the same name:
+// another incarnation of its process is connected, and the list shows the VM as
+// live.
 func (m *memberState) replaced() bool {
 	otherRun := m.leavingIncarnation != "" && m.leavingIncarnation != m.process.Incarnation
 	return m.connected && otherRun && m.listed && m.vm.State == confsvc.VMLive
 }
 
+// clearLeaving makes a leaving VM count as live again.
 func (m *memberState) clearLeaving() {
 	m.leaving = false
 	m.liveSince = time.Time{}
 }
 
-// leave marks a VM as leaving and tells whether it was not before.
+// markLeaving marks a VM as leaving and reports whether it was not leaving before.
 func (m *memberState) markLeaving(reason string) bool {
 	changed := !m.leaving
 	if changed {
@@ -140,9 +154,9 @@
 	return changed
 }
 
-// noted takes in a peer's note and tells whether it was news. A note about
-// another incarnation than the one known here is about a VM that had this name
-// before.
+// applyNote applies a peer's notification that a VM is leaving, and reports whether
+// the VM was not leaving before. A notification about another incarnation than the
+// one known here is about an earlier VM of the same name and is ignored.
 func (c *viewCore) applyNote(note *wire.VMNote) bool {
 	m, ok := c.members[note.VM]
 	if !ok {
@@ -155,6 +169,8 @@
 	return m.markLeaving("a peer read it as leaving")
 }
 
+// markAbsent applies the absence of a VM from a list, and removes the VM once it has
+// been neither listed nor connected for absentRetention.
 func (c *viewCore) markAbsent(now time.Time, name string, m *memberState) {
 	m.listed = false
 	m.liveSince = time.Time{}
@@ -170,7 +186,8 @@
 	}
 }
 
-// connect takes in a connection that passed the hello.
+// connect marks a VM as connected to the process described by hello. For a VM that
+// is not listed it also takes the VM's attributes from hello.
 func (c *viewCore) connect(now time.Time, vm string, hello *wire.Hello) {
 	m := c.member(vm)
 	m.connected = true
@@ -197,7 +214,7 @@
 	}
 }
 
-// disconnect takes in the end of the connection to a process.
+// disconnect marks a VM as not connected, unless it is known with another process.
 func (c *viewCore) disconnect(now time.Time, vm string, process wire.Process) {
 	m, ok := c.members[vm]
 	if !ok || m.process != process {
@@ -209,14 +226,15 @@
 	}
 }
 
-// dialFailure marks a VM that could not be connected to.
+// markDialFailed records that the last dial of a VM failed.
 func (c *viewCore) markDialFailed(vm string) {
 	if m, ok := c.members[vm]; ok && !m.connected {
 		m.dialFailed = true
 	}
 }
 
-// observe takes in a report and tells whether the view changed in more than load.
+// observe applies an agent's report and reports whether its draining state has
+// changed, which may change the VM's state.
 func (c *viewCore) observe(now time.Time, report *wire.AgentReport) bool {
 	m, ok := c.byProcess[report.Process]
 	if !ok {
@@ -227,6 +245,8 @@
 	return m.report.Draining != draining
 }
 
+// applyReport stores a report unless it is from another process or has a lower
+// sequence number than the stored one.
 func (c *viewCore) applyReport(now time.Time, m *memberState, report wire.AgentReport) {
 	if report.Process != m.process {
 		return
@@ -238,7 +258,8 @@
 	m.reportedAt = now
 }
 
-// wake forgets how fresh the list is; the process was paused.
+// resetFreshness discards the times of lists after a pause of the process: ListedAt
+// becomes zero, and leavingHoldTime starts anew for every leaving VM.
 func (c *viewCore) resetFreshness() {
 	c.listedAt = time.Time{}
 	for _, m := range c.members {
@@ -246,6 +267,7 @@
 	}
 }
 
+// state returns the state of the VM and the reason for it.
 func (m *memberState) state() (State, string) {
 	switch {
 	case m.report.Draining:
@@ -265,8 +287,9 @@
 	}
 }
 
-// view returns the present view, the VMs whose state changed since the last
-// call, and the claims on endpoints that are newly ignored.
+// view returns the current view, an event for each VM whose state has changed since
+// the last call, and the claims to endpoints that are ignored but were not in the
+// last view.
 func (c *viewCore) view(now time.Time) (*View, []kernel.MemberEvent, []Claim) {
 	var events []kernel.MemberEvent
 	members := make([]Member, 0, len(c.members))
@@ -285,6 +308,7 @@
 	return v, events, c.newlyIgnored(ignored)
 }
 
+// newlyIgnored returns the claims that the last view did not ignore.
 func (c *viewCore) newlyIgnored(ignored []Claim) []Claim {
 	known := c.ignoredClaims
 	c.ignoredClaims = make(map[Claim]bool, len(ignored))
@@ -302,7 +326,8 @@
 	return kernel.MemberEvent{VM: vm.Name, Endpoint: vm.Endpoint, Pool: vm.Pool, State: string(state), Reason: reason}
 }
 
-// selfLeaving tells whether the own VM is listed as leaving.
+// selfLeaving reports whether this process's VM is leaving according to the list of
+// VMs or a peer's notification.
 func (c *viewCore) selfLeaving() bool {
 	m, ok := c.members[c.self]
 	return ok && m.leaving
