--- a/member/conns_test.go
+++ b/member/conns_test.go
@@ -11,11 +11,12 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// An entry and a starting agent dial each other at once, and the entry retires
-// one of the two connections. It hears of the end of the first and of the
-// beginning of the second in two goroutines, in either order. If the end is
-// believed last, the endpoint gets no work although its agent is connected.
-func TestEndOfOneLinkLeavesTheNext(t *testing.T) {
+// Guards against a connected VM that counts as not connected. An entry and a
+// starting agent dial each other simultaneously, and the entry retires one of the
+// two connections. The end of the first and the start of the second are handled in
+// two goroutines, in either order. If the end were applied last, the endpoint would
+// get no work although its agent is connected.
+func TestEndOfOldLinkKeepsNewLink(t *testing.T) {
 	s := New(Config{Self: wire.Process{Name: "entry-1", Role: wire.RoleEntry}, Holder: bundle.NewHolder(nil)})
 	agent := wire.Process{Name: "catalogue-1", Incarnation: "a", Role: wire.RoleAgent}
 	hello := wire.Hello{Process: agent, VM: "vm-catalogue-1"}
@@ -35,11 +36,11 @@
 	second := admit()
 	s.linkUp(second, &hello)
 	s.linkDown(first)
-	assert.Assert(t, connected(), "the end of the first was believed")
+	assert.Assert(t, connected(), "the end of the first link was applied after the start of the second")
 
 	assert.Equal(t, s.links.remove(second.conn), second)
 	s.linkDown(second)
 	assert.Assert(t, !connected())
 	s.linkUp(second, &hello)
-	assert.Assert(t, !connected(), "a link that had ended was believed")
+	assert.Assert(t, !connected(), "the start of a link was applied after its end")
 }
--- a/member/core_test.go
+++ b/member/core_test.go
@@ -30,7 +30,7 @@
 	return vms
 }
 
-func TestWatchersAreFew(t *testing.T) {
+func TestWatchersPerDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := drawList(t)
 		live, watching := make(map[string]int), make(map[string]int)
@@ -52,31 +52,31 @@
 	})
 }
 
-// A list that lags behind says live of a VM that an earlier read showed as
-// leaving. If the view went back, the VM would get new work until it vanished.
+// Guards against a stale list that shows a VM as live after an earlier read showed
+// it as leaving. If the view reverted, the VM would get new work until it is gone.
 func TestLeavingOutlivesStaleLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := newViewCore("self")
 		hello := wire.Hello{Process: wire.Process{Name: "a", Incarnation: "i1", Role: wire.RoleAgent}}
 		now := simulationStart
-		var heldUntil time.Time
+		var leavingUntil time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "seconds")) * time.Second)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				core.applyList(now, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
-				if heldUntil.IsZero() {
+				if leavingUntil.IsZero() {
 					break
 				}
-				if m := core.members["a"]; !m.leaving && now.Before(heldUntil) {
-					t.Fatalf("back to live %v too early", heldUntil.Sub(now))
+				if m := core.members["a"]; !m.leaving && now.Before(leavingUntil) {
+					t.Fatalf("the VM counts as live %v too early", leavingUntil.Sub(now))
 				}
 			case 1:
 				core.applyList(now, []confsvc.VM{{Name: "a", State: confsvc.VMLeaving}})
-				heldUntil = now.Add(leavingHoldTime)
+				leavingUntil = now.Add(leavingHoldTime)
 			case 2:
 				if core.applyNote(&wire.VMNote{VM: "a", Process: hello.Process}) {
-					heldUntil = now.Add(leavingHoldTime)
+					leavingUntil = now.Add(leavingHoldTime)
 				}
 			case 3:
 				core.connect(now, "a", &hello)
@@ -85,7 +85,7 @@
 			case 5:
 				core.applyList(now, nil)
 				if core.members["a"] == nil {
-					heldUntil = time.Time{}
+					leavingUntil = time.Time{}
 				}
 			}
 		}
@@ -100,11 +100,11 @@
 	core.disconnect(simulationStart, "a", hello.Process)
 	hello.Process.Incarnation = "i2"
 	core.connect(simulationStart, "a", &hello)
-	assert.Assert(t, core.members["a"].leaving, "the list still says so")
+	assert.Assert(t, core.members["a"].leaving, "the list still shows the VM as leaving")
 	core.applyList(simulationStart, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
 	assert.Assert(t, !core.members["a"].leaving)
 	old := wire.VMNote{VM: "a", Process: wire.Process{Name: "a", Incarnation: "i1"}}
-	assert.Assert(t, !core.applyNote(&old), "a note about the VM's predecessor")
+	assert.Assert(t, !core.applyNote(&old), "a notification about the VM's predecessor")
 }
 
 func TestListedClaimOwnsEndpoint(t *testing.T) {
@@ -117,26 +117,27 @@
 	assert.Equal(t, owner.VM.Name, "b")
 	assert.DeepEqual(t, claims, []Claim{{Endpoint: "e", VM: "a"}})
 	_, _, claims = core.view(simulationStart)
-	assert.Equal(t, len(claims), 0, "told once")
+	assert.Equal(t, len(claims), 0, "an ignored claim is reported once")
 }
 
-// An agent's VM is replaced while its old process is stopped. When the old
-// one wakes and connects again, calls must go on to its successor.
-func TestSupersededProcessStaysOut(t *testing.T) {
+// Guards against an agent that was replaced while it was stopped: when it resumes
+// and connects again, calls must still go to its successor.
+func TestSupersededProcessIsRefused(t *testing.T) {
 	l := newLinks("self")
-	run := func(incarnation string) admission {
+	connect := func(incarnation string) admission {
 		return l.admit(simulationStart, &peer.Conn{}, &wire.Hello{VM: "a", Process: wire.Process{Incarnation: incarnation}})
 	}
-	assert.Assert(t, run("i1").Link != nil)
-	second := run("i2")
+	assert.Assert(t, connect("i1").Link != nil)
+	second := connect("i2")
 	assert.Assert(t, second.Link != nil && second.Retire != nil)
-	assert.Assert(t, run("i1").Stale)
+	assert.Assert(t, connect("i1").Stale)
 	assert.Assert(t, l.get("a") == second.Link)
 }
 
-// A process that starts while the configuration service is stale would serve
-// its callers under a withdrawn bundle, unless it waits for a peer's word.
-func TestSettles(t *testing.T) {
+// Guards against a process that starts while the configuration service is stale
+// and serves requests under a withdrawn bundle because it did not wait for a reply
+// from a peer.
+func TestCollectionEnds(t *testing.T) {
 	ready := collectState{Elapsed: minCollectTime, PlatformTried: true, ListTried: true, ListRead: true, NamedPeers: 2, AnsweredPeers: 2}
 	for name, c := range map[string]struct {
 		change func(*collectState)
@@ -161,15 +162,18 @@
 	}
 }
 
-// cluster runs spread cores against each other on a virtual clock.
+// gossipSimulation runs gossip cores against each other on a virtual clock.
 type gossipSimulation struct {
-	now      time.Time
-	rng      *rand.Rand
-	cores    map[string]*gossipCore
-	nextTick map[string]time.Time
-	queue    []func()
-	// loss is the share of notifications lost; fetchLoss that of fetches.
-	notificationLoss, fetchLoss float64
+	now   time.Time
+	rng   *rand.Rand
+	cores map[string]*gossipCore
+	// tickAt is when the next tick of each core is due.
+	tickAt map[string]time.Time
+	// pending are the events that step executes in random order.
+	pending []func()
+	// notificationLoss and fetchFailureRate are the probabilities that a
+	// notification is lost and that a fetch fails.
+	notificationLoss, fetchFailureRate float64
 }
 
 func (c *gossipSimulation) allHold(head wire.BundleHead) bool {
@@ -184,52 +188,52 @@
 func (c *gossipSimulation) run(self string, e gossipEffects) {
 	for _, to := range e.SendHead {
 		if c.rng.Float64() >= c.notificationLoss {
-			c.queue = append(c.queue, func() { c.run(to, c.cores[to].headReceived(c.now, self, c.cores[self].head)) })
+			c.pending = append(c.pending, func() { c.run(to, c.cores[to].headReceived(c.now, self, c.cores[self].head)) })
 		}
 	}
 	for _, from := range e.Exchange {
-		c.queue = append(c.queue, func() { c.run(self, c.cores[self].headReceived(c.now, from, c.cores[from].head)) })
+		c.pending = append(c.pending, func() { c.run(self, c.cores[self].headReceived(c.now, from, c.cores[from].head)) })
 	}
 	for _, task := range e.Fetch {
-		c.queue = append(c.queue, func() { c.fetchDone(self, task) })
+		c.pending = append(c.pending, func() { c.fetchDone(self, task) })
 	}
 }
 
 func (c *gossipSimulation) fetchDone(self string, task fetchTask) {
 	core, got := c.cores[self], c.cores[task.VM].head
-	ok := c.rng.Float64() >= c.fetchLoss
+	ok := c.rng.Float64() >= c.fetchFailureRate
 	if ok && newerHead(got, core.head) {
 		c.run(self, core.headAdopted(c.now, got))
 	} else if ok {
 		core.markRefused(c.now, task.Head)
 	}
 	c.run(self, core.fetchDone(c.now, task, ok))
-	c.nextTick[self] = c.now
+	c.tickAt[self] = c.now
 }
 
 func (c *gossipSimulation) step() {
 	c.now = c.now.Add(50 * time.Millisecond)
 	for _, name := range slices.Sorted(maps.Keys(c.cores)) {
-		if c.now.Before(c.nextTick[name]) {
+		if c.now.Before(c.tickAt[name]) {
 			continue
 		}
 		effects, next := c.cores[name].tick(c.now)
-		c.nextTick[name] = c.now.Add(next)
+		c.tickAt[name] = c.now.Add(next)
 		c.run(name, effects)
 	}
-	for len(c.queue) > 0 {
-		i := c.rng.IntN(len(c.queue))
-		event := c.queue[i]
-		c.queue = slices.Delete(c.queue, i, i+1)
+	for len(c.pending) > 0 {
+		i := c.rng.IntN(len(c.pending))
+		event := c.pending[i]
+		c.pending = slices.Delete(c.pending, i, i+1)
 		event()
 	}
 }
 
-// TestSpreadConverges gives random versions to some processes of a random
-// fleet, in which a third of the fetches fail. All must hold the highest within
-// five seconds, or within a minute if a third of the notifications is lost too,
-// as when connections break.
-func TestSpreadConverges(t *testing.T) {
+// TestGossipConverges gives random versions to some processes of a random fleet in
+// which a third of the fetches fail. All processes must hold the highest version
+// within five seconds, or within a minute if a third of the notifications are lost
+// too, as they are when connections break.
+func TestGossipConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries, agents := rapid.IntRange(1, 6).Draw(t, "entries"), rapid.IntRange(0, 40).Draw(t, "agents")
 		loss, limit := 0.0, 5*time.Second
@@ -237,9 +241,9 @@
 			loss, limit = 0.3, time.Minute
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		c := &gossipSimulation{
-			now: simulationStart, rng: rand.New(rand.NewPCG(seed, 0)), notificationLoss: loss, fetchLoss: 0.3,
-			cores: make(map[string]*gossipCore), nextTick: make(map[string]time.Time),
+		sim := &gossipSimulation{
+			now: simulationStart, rng: rand.New(rand.NewPCG(seed, 0)), notificationLoss: loss, fetchFailureRate: 0.3,
+			cores: make(map[string]*gossipCore), tickAt: make(map[string]time.Time),
 		}
 		var names []string
 		for i := range entries + agents {
@@ -249,38 +253,38 @@
 			}
 			name := fmt.Sprintf("%s-%d", role, i)
 			names = append(names, name)
-			c.cores[name] = newGossipCore(name, wire.Process{Role: role}, 0, rand.New(rand.NewPCG(seed, uint64(i)+1)))
+			sim.cores[name] = newGossipCore(name, wire.Process{Role: role}, 0, rand.New(rand.NewPCG(seed, uint64(i)+1)))
 		}
 		for i, entry := range names[:entries] {
 			for _, other := range names[i+1:] {
-				c.cores[entry].peerUp(c.now, other, &wire.Hello{Process: wire.Process{Role: c.cores[other].role}}, true)
-				c.cores[other].peerUp(c.now, entry, &wire.Hello{Process: wire.Process{Role: wire.RoleEntry}}, false)
+				sim.cores[entry].peerUp(sim.now, other, &wire.Hello{Process: wire.Process{Role: sim.cores[other].role}}, true)
+				sim.cores[other].peerUp(sim.now, entry, &wire.Hello{Process: wire.Process{Role: wire.RoleEntry}}, false)
 			}
 		}
 		var highest wire.BundleHead
 		for range rapid.IntRange(1, 4).Draw(t, "versions") {
-			core := c.cores[rapid.SampledFrom(names).Draw(t, "holder")]
+			core := sim.cores[rapid.SampledFrom(names).Draw(t, "holder")]
 			version := uint64(rapid.IntRange(1, 3).Draw(t, "version"))
 			head := wire.BundleHead{Version: version, Hash: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "hash")}
 			if newerHead(head, core.head) {
-				c.run(core.self, core.headAdopted(c.now, head))
+				sim.run(core.self, core.headAdopted(sim.now, head))
 			}
 			if newerHead(head, highest) {
 				highest = head
 			}
 		}
-		for !c.allHold(highest) && c.now.Before(simulationStart.Add(limit)) {
-			c.step()
+		for !sim.allHold(highest) && sim.now.Before(simulationStart.Add(limit)) {
+			sim.step()
 		}
 		for _, name := range names {
-			if c.cores[name].head != highest {
-				t.Fatalf("%s holds %v, not %v", name, c.cores[name].head, highest)
+			if sim.cores[name].head != highest {
+				t.Fatalf("%s holds %v, not %v", name, sim.cores[name].head, highest)
 			}
 		}
 	})
 }
 
-func TestConnectionOutweighsTheList(t *testing.T) {
+func TestConnectedVMIsKeptWhenUnlisted(t *testing.T) {
 	core := newViewCore("self")
 	hello := wire.Hello{Process: wire.Process{Name: "a", Incarnation: "i1", Role: wire.RoleAgent}}
 	core.applyList(simulationStart, []confsvc.VM{{Name: "a", State: confsvc.VMLive}})
--- a/member/cost_test.go
+++ b/member/cost_test.go
@@ -7,17 +7,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// platformShare is the part of the calls made in a steady state that a fleet
-// four times as large may need.
+// maxCallGrowth is the largest factor by which the steady-state rate of calls may
+// grow when the fleet grows by a factor of four.
 const maxCallGrowth = 3.0
 
-// judgedSize is the largest fleet whose time until a bundle is in force is
-// judged. All processes share this machine, and a larger one keeps it so busy
-// that the time says nothing of the spread; it is reported.
+// maxTimedFleet is the largest fleet for which the time until a bundle is in force
+// is checked. All processes share one machine, which a larger fleet keeps so busy
+// that the time says nothing about the gossip; for those it is only logged.
 const maxTimedFleet = 40
 
-// TestPlatformCallsGrowSlowly measures the calls of a whole fleet: the
-// platform's limits grow more slowly than the fleet.
+// TestPlatformCallsGrowSlowly measures the rate of calls of a whole fleet, because
+// the platform's rate limits grow more slowly than the fleet.
 func TestPlatformCallsGrowSlowly(t *testing.T) {
 	const window = 8 * time.Second
 	var rates []float64
@@ -41,7 +41,7 @@
 		}
 		change := f.totals()
 		t.Logf("%d processes: %d calls until ready, then %.1f a second; control bytes out per process %.0f a second idle; "+
-			"version 2 everywhere after %v with %d heads sent, %d fetches (%d turned away)",
+			"version 2 everywhere after %v with %d heads sent, %d fetches (%d refused)",
 			size, starting, rate, float64(idle.PeerBytesOut-before.PeerBytesOut)/elapsed/float64(size), took,
 			change.HeadsSent-idle.HeadsSent, change.Fetches-idle.Fetches, change.FetchesRefused-idle.FetchesRefused)
 		rates = append(rates, rate)
@@ -54,7 +54,7 @@
 	}
 }
 
-// totals sums the counters of all processes that the test compares.
+// totals returns the sums over all processes of the counters that the test logs.
 func (f *fleet) totals() StatsSnapshot {
 	var sum StatsSnapshot
 	for _, m := range f.members {
--- a/member/dialgate_test.go
+++ b/member/dialgate_test.go
@@ -9,20 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// dialBound is a policy of how many dials may be under way.
+// dialPolicy limits the number of concurrent dials.
 type dialPolicy interface {
 	hasCapacity() bool
 	begin()
 	end(began, now time.Time, result dialResult)
 }
 
-// fixedBound is the naive counterpart of dialLimit.
+// fixedLimit allows a fixed number of concurrent dials, for comparison with dialLimit.
 type fixedLimit struct{ limit, inFlight int }
 
 func (f *fixedLimit) hasCapacity() bool                    { return f.inFlight < f.limit }
 func (f *fixedLimit) begin()                               { f.inFlight++ }
 func (f *fixedLimit) end(time.Time, time.Time, dialResult) { f.inFlight-- }
 
+// adaptiveLimit makes dialLimit a dialPolicy.
 type adaptiveLimit struct{ dialLimit }
 
 func (f *adaptiveLimit) begin() { f.inFlight++ }
@@ -31,52 +32,55 @@
 	f.record(began, now, result)
 }
 
-// startUp is a fleet that starts on one machine: each dialler joins as many
-// targets, and the machine divides its time evenly among all handshakes.
+// startSimulation simulates a fleet that starts on one machine. Each dialler
+// connects to the given number of targets, and the machine divides its processor
+// time evenly among all handshakes.
 type startSimulation struct {
 	diallers, targets int
-	// work is the processor time of one handshake.
-	work time.Duration
-	// busy is how many other processes share the processor.
-	busy int
+	// handshakeWork is the processor time of one handshake.
+	handshakeWork time.Duration
+	// otherProcesses is how many other busy processes share the processor.
+	otherProcesses int
 }
 
 type handshake struct {
 	dialler int
 	began   time.Time
-	left    time.Duration
+	// remaining is the processor time that the handshake still needs.
+	remaining time.Duration
 }
 
-// play returns the number of connections at the end of d, in virtual time.
-func (s startSimulation) run(d time.Duration, newPolicy func() dialPolicy) (joined int, last time.Duration) {
+// run simulates the fleet for d in virtual time. It returns the number of
+// connections made and the time of the last one.
+func (s startSimulation) run(d time.Duration, newPolicy func() dialPolicy) (connected int, last time.Duration) {
 	const step = 5 * time.Millisecond
 	policies := make([]dialPolicy, s.diallers)
-	wanted := make([]int, s.diallers)
+	left := make([]int, s.diallers)
 	for i := range policies {
-		policies[i], wanted[i] = newPolicy(), s.targets
+		policies[i], left[i] = newPolicy(), s.targets
 	}
 	var active []handshake
 	start := time.UnixMilli(1_764_700_000_000)
 	for now := start; now.Sub(start) < d; now = now.Add(step) {
 		for i := range policies {
-			for wanted[i] > 0 && policies[i].hasCapacity() {
-				wanted[i]--
+			for left[i] > 0 && policies[i].hasCapacity() {
+				left[i]--
 				policies[i].begin()
-				active = append(active, handshake{dialler: i, began: now, left: s.work})
+				active = append(active, handshake{dialler: i, began: now, remaining: s.handshakeWork})
 			}
 		}
-		share := step / time.Duration(max(1, len(active)+s.busy))
+		share := step / time.Duration(max(1, len(active)+s.otherProcesses))
 		var unfinished []handshake
 		for _, h := range active {
-			h.left -= share
+			h.remaining -= share
 			took := now.Sub(h.began)
 			switch {
-			case h.left <= 0:
-				joined++
+			case h.remaining <= 0:
+				connected++
 				last = now.Sub(start)
 				policies[h.dialler].end(h.began, now, classifyDial(true, took))
 			case took >= handshakeTimeout:
-				wanted[h.dialler]++
+				left[h.dialler]++
 				policies[h.dialler].end(h.began, now, classifyDial(false, took))
 			default:
 				unfinished = append(unfinished, h)
@@ -84,31 +88,31 @@
 		}
 		active = unfinished
 	}
-	return joined, last
+	return connected, last
 }
 
-// helloGivenUp is when either side of a handshake gives it up.
+// handshakeTimeout is when either side of a handshake abandons it.
 const handshakeTimeout = 2 * time.Second
 
-// Guards against a fleet that starts beside load and never gets connected,
-// since handshakes that are given up crowd out those that would finish.
+// Guards against a fleet that never gets connected when it starts on a loaded
+// machine, because handshakes that time out delay those that would finish.
 func TestStartingFleetConverges(t *testing.T) {
-	fleet := startSimulation{diallers: 20, targets: 140, work: 3 * time.Millisecond, busy: 10}
+	fleet := startSimulation{diallers: 20, targets: 140, handshakeWork: 3 * time.Millisecond, otherProcesses: 10}
 	naive, _ := fleet.run(time.Minute, func() dialPolicy { return &fixedLimit{limit: maxDials} })
-	assert.Equal(t, naive, 0, "the play is too easy")
-	joined, last := fleet.run(time.Minute, func() dialPolicy { return &adaptiveLimit{newDialLimit(maxDials)} })
-	t.Logf("all joined after %v", last)
-	assert.Equal(t, joined, 20*140)
+	assert.Equal(t, naive, 0, "the simulation has too little load: a fixed limit gets connections through")
+	connected, last := fleet.run(time.Minute, func() dialPolicy { return &adaptiveLimit{newDialLimit(maxDials)} })
+	t.Logf("all connected after %v", last)
+	assert.Equal(t, connected, 20*140)
 }
 
-// Guards against a quiet start that the limit makes slower.
-func TestQuietStartIsNotHeldUp(t *testing.T) {
-	fleet := startSimulation{diallers: 20, targets: 140, work: 200 * time.Microsecond}
+// Guards against a start on an unloaded machine that is slower because of the limit.
+func TestUnloadedStartIsNotSlowed(t *testing.T) {
+	fleet := startSimulation{diallers: 20, targets: 140, handshakeWork: 200 * time.Microsecond}
 	_, naive := fleet.run(time.Minute, func() dialPolicy { return &fixedLimit{limit: maxDials} })
-	joined, last := fleet.run(time.Minute, func() dialPolicy { return &adaptiveLimit{newDialLimit(maxDials)} })
-	t.Logf("all joined after %v, with a fixed bound after %v", last, naive)
-	assert.Equal(t, joined, 20*140)
-	assert.Assert(t, last <= naive+naive/4, "%v for %v", last, naive)
+	connected, last := fleet.run(time.Minute, func() dialPolicy { return &adaptiveLimit{newDialLimit(maxDials)} })
+	t.Logf("all connected after %v, with a fixed limit after %v", last, naive)
+	assert.Equal(t, connected, 20*140)
+	assert.Assert(t, last <= naive+naive/4, "connected after %v, with a fixed limit after %v", last, naive)
 }
 
 func TestDialLimit(t *testing.T) {
@@ -121,61 +125,61 @@
 	assert.Equal(t, int(l.limit), maxDials)
 	l.record(began, at(2000), dialCongested)
 	l.record(at(10), at(2100), dialCongested)
-	assert.Equal(t, int(l.limit), maxDials/2, "dials of one congestion halve it once")
+	assert.Equal(t, int(l.limit), maxDials/2, "the dials of one congestion halve the limit once")
 	l.record(at(2200), at(2300), dialUnconnected)
-	assert.Equal(t, int(l.limit), maxDials/2, "a VM that is gone says nothing of load")
+	assert.Equal(t, int(l.limit), maxDials/2, "a dial of a VM that is gone does not change the limit")
 	l.record(at(2200), at(2300), dialSucceeded)
-	assert.Equal(t, int(l.limit), maxDials/2, "it grows slowly from there")
+	assert.Equal(t, int(l.limit), maxDials/2, "the limit grows linearly after it was halved")
 	for i := range 20 {
 		l.record(at(3000+i*10), at(3001+i*10), dialCongested)
 	}
 	assert.Equal(t, int(l.limit), 1)
 }
 
-// Guards against places that are lost or given twice when dials are given up
-// while they wait, by which a process dials no more, or too many at once.
-func TestDialGateCountsPlaces(t *testing.T) {
+// Guards against slots that are lost or given out twice when a waiting dial is
+// cancelled. The process would stop dialling, or exceed its limit.
+func TestDialGateCountsSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newDialGate(3)
 		var cancels []context.CancelFunc
-		var waits []chan bool
-		inside := 0
+		var results []chan bool
+		held := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			if inside > 0 && rapid.Bool().Draw(t, "leave") {
-				inside--
+			if held > 0 && rapid.Bool().Draw(t, "leave") {
+				held--
 				g.release()
 				continue
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			entered := make(chan bool, 1)
-			go func() { entered <- g.acquire(ctx) }()
-			cancels, waits = append(cancels, cancel), append(waits, entered)
+			acquired := make(chan bool, 1)
+			go func() { acquired <- g.acquire(ctx) }()
+			cancels, results = append(cancels, cancel), append(results, acquired)
 			if rapid.Bool().Draw(t, "give up") {
 				cancel()
 			}
-			for len(waits) > 0 {
+			for len(results) > 0 {
 				select {
-				case ok := <-waits[0]:
-					waits = waits[1:]
+				case ok := <-results[0]:
+					results = results[1:]
 					if ok {
-						inside++
+						held++
 					}
 					continue
 				case <-time.After(time.Millisecond):
 				}
 				break
 			}
-			assert.Assert(t, inside <= 3)
+			assert.Assert(t, held <= 3)
 		}
 		for _, cancel := range cancels {
 			cancel()
 		}
-		for _, entered := range waits {
-			if <-entered {
-				inside++
+		for _, acquired := range results {
+			if <-acquired {
+				held++
 			}
 		}
-		for range inside {
+		for range held {
 			g.release()
 		}
 		assert.Equal(t, g.limit.inFlight, 0)
--- a/member/fleet_test.go
+++ b/member/fleet_test.go
@@ -29,7 +29,7 @@
     stages: [{name: find, pool: catalogue}]
 `
 
-// store is the platform as it really is.
+// store is the actual state of the platform.
 type store struct {
 	mu      sync.Mutex
 	changed chan struct{}
@@ -60,10 +60,12 @@
 	p.vms = change(slices.Clone(p.vms))
 }
 
-// access is the platform as one process sees it.
+// access is the platform as seen by one process.
 type access struct {
-	store     *store
-	down      atomic.Bool
+	store *store
+	// down makes every call fail.
+	down atomic.Bool
+	// stale and staleList, if set, are returned instead of the actual value and list.
 	stale     atomic.Pointer[confsvc.Value]
 	staleList atomic.Pointer[[]confsvc.VM]
 }
@@ -118,18 +120,20 @@
 	return slices.Clone(a.store.vms), nil
 }
 
-// member is one process of a test fleet.
+// testMember is one process of a test fleet.
 type testMember struct {
 	*Service
 	access *access
 	holder *bundle.Holder
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// versions are the bundle versions adopted, in order.
 	versions []uint64
+	// leaving are the arguments of the calls of OnLeaving, in order.
 	leaving  []bool
 	draining atomic.Bool
-	// slept is how far the member's clock is ahead: a process that wakes from a
-	// pause sees its clock jump.
+	// clockOffset is how far the member's clock is ahead, in nanoseconds. Raising
+	// it simulates a pause: a process that resumes sees its clock jump.
 	clockOffset atomic.Int64
 }
 
@@ -149,7 +153,7 @@
 	return slices.Clone(m.leaving)
 }
 
-// fleet is a set of processes on loopback that share a platform.
+// fleet is a set of processes on the loopback interface that share a platform.
 type fleet struct {
 	t       *testing.T
 	store   *store
@@ -174,7 +178,7 @@
 
 func (f *fleet) publish(version int) { f.store.publish(f.signed(version, "by an operator")) }
 
-// start starts entries and agents, in two domains by turns, and lists them.
+// start starts entries and agents, alternately in two failure domains, and lists them.
 func (f *fleet) start(entries, agents int) {
 	f.t.Helper()
 	for i := range entries + agents {
@@ -230,15 +234,15 @@
 	return m
 }
 
-// await polls a condition for at most limit and returns how long it took.
-func await(t *testing.T, limit time.Duration, what string, ok func() bool) time.Duration {
+// waitFor polls a condition for at most limit and returns how long it took.
+func waitFor(t *testing.T, limit time.Duration, what string, ok func() bool) time.Duration {
 	t.Helper()
 	start := time.Now()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for !ok() {
 		if time.Since(start) > limit {
-			t.Fatalf("not within %v: %s", limit, what)
+			t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		<-ticker.C
 	}
@@ -255,18 +259,18 @@
 // to every other process.
 func (f *fleet) awaitReady() {
 	f.t.Helper()
-	await(f.t, time.Minute, "every process ready and connected", f.all(func(m *testMember) bool {
+	waitFor(f.t, time.Minute, "every process ready and connected", f.all(func(m *testMember) bool {
 		connected := m.cfg.Self.Role == wire.RoleAgent || m.links.count() == len(f.members)-1
 		return m.Ready() && connected
 	}))
 }
 
-// inForceWithin is the time in which a bundle is to be in force everywhere.
+// maxAdoptionTime is the time within which a bundle must be in force everywhere.
 const maxAdoptionTime = 5 * time.Second
 
 func (f *fleet) awaitVersion(version uint64, limit time.Duration) time.Duration {
 	f.t.Helper()
-	return await(f.t, limit, fmt.Sprintf("version %d everywhere", version),
+	return waitFor(f.t, limit, fmt.Sprintf("version %d everywhere", version),
 		f.all(func(m *testMember) bool { return m.version() == version }))
 }
 
@@ -274,6 +278,6 @@
 	f.t.Helper()
 	for _, m := range f.members {
 		versions := m.adoptedVersions()
-		assert.Assert(f.t, slices.IsSorted(versions), "%s went back: %v", m.cfg.VM, versions)
+		assert.Assert(f.t, slices.IsSorted(versions), "%s adopted a lower version after a higher one: %v", m.cfg.VM, versions)
 	}
 }
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -43,7 +43,7 @@
 	headReplyInterval = time.Second
 )
 
-// fetchOrder says to fetch the bundle of Head from the process on VM.
+// fetchTask is a fetch of the bundle with the given head from the process on VM.
 type fetchTask struct {
 	VM   string
 	Head wire.BundleHead
--- a/member/pause_test.go
+++ b/member/pause_test.go
@@ -12,17 +12,18 @@
 	"github.com/mangostage/mangostage/peer"
 )
 
-// unserved is a method that no member has: its call is answered with an error,
-// which proves that it was written.
+// unservedMethod is a method that no member serves. A call of it returns an error
+// from the peer, which proves that the call was written.
 const unservedMethod = "test.unserved"
 
-// An entry is stopped for seconds with callers' requests in its socket buffers.
-// When it wakes it hands them to agents before its next tick, or while it is
-// about to drop its connections. The calls go with the connections: users read
-// that their requests may have run, though a moment later they would have gone
-// out on fresh connections. The cause: the pause counted as dealt with from the
-// tick that noticed it, and the calls did not ask.
-func TestWokenProcessWritesNoCallOnOldConnections(t *testing.T) {
+// Guards against calls that a process writes to its old connections when it resumes
+// from a pause. An entry is stopped for seconds with client requests in its socket
+// buffers, and resumes. If it called agents before the tick that detects the pause,
+// or before its old connections are dropped, the calls would be lost with the
+// connections, and clients would be told that their requests may have run. A moment
+// later the calls could go out on new connections. So the process must count as
+// stalled until the pause has been handled, and each call must check that.
+func TestResumedProcessWritesNoCallOnOldConnections(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
 	f.start(1, 1)
@@ -32,15 +33,15 @@
 	assert.Assert(t, ok)
 	assert.Assert(t, errorx.IsOfType(call(t, old), peer.ErrRemote), "before the pause")
 
-	// Whoever deals with the pause needs this lock, and waits here.
+	// The handling of the pause needs this lock and is blocked while it is held.
 	entry.coreMu.Lock()
 	entry.clockOffset.Store(int64(5 * time.Second))
-	early := call(t, old)
-	await(t, 5*time.Second, "pause noticed", func() bool { return entry.Stats().Wakes == 1 })
-	amid, stalled, ready := call(t, old), entry.Stalled(), entry.Ready()
+	beforeTick := call(t, old)
+	waitFor(t, 5*time.Second, "pause noticed", func() bool { return entry.Stats().Wakes == 1 })
+	beforeDrop, stalled, ready := call(t, old), entry.Stalled(), entry.Ready()
 	entry.coreMu.Unlock()
-	assert.Check(t, errorx.IsOfType(early, peer.ErrNotWritten), "before the first tick: %v", early)
-	assert.Check(t, errorx.IsOfType(amid, peer.ErrNotWritten), "before the connections were dropped: %v", amid)
+	assert.Check(t, errorx.IsOfType(beforeTick, peer.ErrNotWritten), "before the first tick: %v", beforeTick)
+	assert.Check(t, errorx.IsOfType(beforeDrop, peer.ErrNotWritten), "before the connections were dropped: %v", beforeDrop)
 	assert.Check(t, stalled)
 	assert.Check(t, !ready)
 
@@ -48,7 +49,7 @@
 	f.awaitReady()
 	fresh, ok := entry.Agent(endpoint)
 	assert.Assert(t, ok && fresh != old)
-	assert.Assert(t, errorx.IsOfType(call(t, fresh), peer.ErrRemote), "after it")
+	assert.Assert(t, errorx.IsOfType(call(t, fresh), peer.ErrRemote), "after the pause")
 }
 
 func call(t *testing.T, conn *peer.Conn) error {
@@ -58,35 +59,35 @@
 	return conn.Call(ctx, unservedMethod, struct{}{}, nil)
 }
 
-// An entry wakes from a pause in which an endpoint's VM was listed as leaving. It
-// has read the list anew and counts as ready, but the view that requests are
-// routed by is still the one from before the pause: a call goes to a VM that is
-// about to be ended.
-func TestWokenProcessIsReadyOnceItsViewIsNew(t *testing.T) {
+// Guards against an entry that is ready before it has published a new view. It
+// resumes from a pause during which an endpoint's VM was listed as leaving, and has
+// read the list again. If it were ready with the view from before the pause, it
+// would route a call to a VM that is about to be terminated.
+func TestResumedProcessIsReadyOnceItsViewIsNew(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
 	f.start(1, 2)
 	f.awaitReady()
 	entry, leaving := f.members[0], f.members[1]
-	await(t, 5*time.Second, "all VMs listed", func() bool { return len(entry.targets()) == 2 })
+	waitFor(t, 5*time.Second, "all VMs listed", func() bool { return len(entry.targets()) == 2 })
 
-	// Whoever publishes a view needs this lock, and waits here.
+	// The publication of a view needs this lock and is blocked while it is held.
 	entry.publishMu.Lock()
 	f.store.edit(func(vms []confsvc.VM) []confsvc.VM {
 		vms[1].State = confsvc.VMLeaving
 		return vms
 	})
 	entry.clockOffset.Store(int64(5 * time.Second))
-	await(t, 5*time.Second, "list read and peers connected", func() bool {
+	waitFor(t, 5*time.Second, "list read and peers connected", func() bool {
 		entry.coreMu.Lock()
 		defer entry.coreMu.Unlock()
 		m := entry.views.members[leaving.cfg.VM]
 		return entry.Stats().Wakes == 1 && m.leaving && entry.links.count() == 2 && !entry.Stalled()
 	})
-	early := entry.Ready()
+	readyBeforePublish := entry.Ready()
 	entry.publishMu.Unlock()
-	assert.Check(t, !early, "ready with the view from before the pause")
-	await(t, 5*time.Second, "ready", entry.Ready)
+	assert.Check(t, !readyBeforePublish, "ready with the view from before the pause")
+	waitFor(t, 5*time.Second, "ready", entry.Ready)
 	vm, _ := entry.View().VM(leaving.cfg.VM)
 	assert.Equal(t, vm.State, StateLeaving)
 }
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -29,9 +29,9 @@
 	f.assertNoRollback()
 }
 
-// The configuration service cannot be reached from any process but one agent.
-// An operator publishes version 2. Users would see old rules on some VMs and
-// new ones on others for as long as the outage lasts, unless peers pass it on.
+// Guards against a version that reaches only the processes which can reach the
+// configuration service, here a single agent. Unless peers forward it, the old
+// rules would apply on some VMs and the new ones on others during the outage.
 func TestBundleReachesAllThroughOneProcess(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
@@ -43,13 +43,13 @@
 	f.publish(2)
 	last := f.members[7]
 	last.offer(f.signed(2, "by an operator"), "test")
-	t.Logf("version 2 in force by peers after %v", f.awaitVersion(2, maxAdoptionTime))
+	t.Logf("version 2 in force everywhere through peers after %v", f.awaitVersion(2, maxAdoptionTime))
 	f.assertNoRollback()
 }
 
-// The fleet has version 2 in force; the configuration service falls back to
-// version 1. A process that starts now reads version 1 first. If it believed
-// the service, its callers would be served by rules that were withdrawn.
+// Guards against a starting process that adopts a withdrawn bundle. The fleet has
+// version 2 in force, while the configuration service serves version 1 again. The
+// process reads version 1 first and must still adopt version 2 from its peers.
 func TestFreshProcessPrefersPeersToStaleService(t *testing.T) {
 	for _, role := range []wire.Role{wire.RoleEntry, wire.RoleAgent} {
 		t.Run(string(role), func(t *testing.T) {
@@ -66,17 +66,16 @@
 			a := &access{store: f.store}
 			a.stale.Store(&old)
 			fresh := f.add(role, a)
-			await(t, 10*time.Second, "fresh process ready", fresh.Ready)
+			waitFor(t, 10*time.Second, "fresh process ready", fresh.Ready)
 			assert.DeepEqual(t, fresh.adoptedVersions(), []uint64{2})
 			f.assertNoRollback()
 		})
 	}
 }
 
-// Two operators publish version 2 with different content, and half of the
-// fleet reads one, half the other. Users would get different answers from the
-// two halves for good; instead all settle on one content, and those that met
-// both contents say so.
+// Guards against a fleet that stays divided when two operators publish version 2
+// with different contents and processes adopt one or the other. All must adopt the
+// same content, and the processes that have seen both must report the conflict.
 func TestConflictConverges(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
@@ -84,7 +83,7 @@
 	f.awaitReady()
 	f.members[0].offer(f.signed(2, "by one"), "test")
 	f.members[1].offer(f.signed(2, "by another"), "test")
-	await(t, 5*time.Second, "one content everywhere", f.all(func(m *testMember) bool {
+	waitFor(t, 5*time.Second, "one content everywhere", f.all(func(m *testMember) bool {
 		return m.version() == 2 && m.holder.Head() == f.members[0].holder.Head()
 	}))
 	reported := slices.ContainsFunc(f.members, func(m *testMember) bool { return m.holder.Conflict() != nil })
@@ -93,9 +92,10 @@
 	f.awaitVersion(3, maxAdoptionTime)
 }
 
-// The list shows an agent's VM as leaving, but only one entry can read the
-// list as it is. The other entry and the agent itself would go on taking work
-// for a VM that is about to vanish, and requests would be cut.
+// Guards against a leaving VM that only one process knows of. The list shows an
+// agent's VM as leaving, but all processes but one entry read a stale list. Without
+// a notification, the other entry would continue to send work to the VM and the
+// agent to accept it, and requests would be interrupted when the VM is gone.
 func TestLeavingReachesAllThroughOneProcess(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
@@ -110,7 +110,7 @@
 		vms[4].State = confsvc.VMLeaving
 		return vms
 	})
-	took := await(t, 3*time.Second, "leaving everywhere", func() bool {
+	took := waitFor(t, 3*time.Second, "leaving everywhere", func() bool {
 		for _, m := range f.members[:2] {
 			if vm, _ := m.View().VM(agent.cfg.VM); vm.State != StateLeaving {
 				return false
@@ -118,7 +118,7 @@
 		}
 		return len(agent.leavingChanges()) == 1
 	})
-	t.Logf("known to the entries and to the agent after %v", took)
+	t.Logf("the entries and the agent know that the VM is leaving after %v", took)
 	assert.DeepEqual(t, agent.leavingChanges(), []bool{true})
 }
 
@@ -129,15 +129,16 @@
 	f.awaitReady()
 	f.members[1].draining.Store(true)
 	f.members[1].Announce()
-	await(t, 2*time.Second, "leaving", func() bool {
+	waitFor(t, 2*time.Second, "leaving", func() bool {
 		vm, _ := f.members[0].View().VM(f.members[1].cfg.VM)
 		return vm.State == StateLeaving
 	})
 }
 
-// A process is paused and wakes. Messages in its socket buffers look new, and
-// its view is as old as the pause. It must drop both before it takes work.
-func TestWakeReconnectsBeforeReady(t *testing.T) {
+// Guards against a process that takes work with stale state after a pause: messages
+// in its socket buffers look new, and its view is as old as the pause. It must drop
+// its connections and read the list again before it is ready.
+func TestResumedProcessReconnectsBeforeReady(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
 	f.start(2, 3)
@@ -154,16 +155,16 @@
 	assert.Equal(t, entry.Stats().Wakes, int64(1))
 }
 
-// A list that omits a VM is often only late. The connection to its process
-// proves that it is there; without this rule a stale list would empty a pool.
-func TestConnectedVMOutlivesTheList(t *testing.T) {
+// Guards against a stale list that empties a pool. A list that omits a VM is often
+// only stale; while its process is connected, the VM must stay live.
+func TestUnlistedConnectedVMStaysLive(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
 	f.start(1, 2)
 	f.awaitReady()
 	entry, agent := f.members[0], f.members[2]
 	f.store.edit(func(vms []confsvc.VM) []confsvc.VM { return vms[:2] })
-	await(t, 5*time.Second, "list read", func() bool {
+	waitFor(t, 5*time.Second, "list read", func() bool {
 		vm, ok := entry.View().VM(agent.cfg.VM)
 		return ok && !vm.Listed
 	})
@@ -174,9 +175,9 @@
 	assert.Equal(t, vm.State, StateLive)
 }
 
-// An agent's process is stopped. Its connection stays open, so requests would
-// be sent there and wait until their deadlines. After a few seconds without
-// an answer to a hello the VM must show as unreachable.
+// Guards against requests that are sent to a stopped agent and wait there until
+// their deadlines, because its connection stays open. After a few seconds without a
+// reply to a hello, the VM must show as unreachable.
 func TestSilentPeerIsUnreachable(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -200,18 +201,18 @@
 		return append(vms, confsvc.VM{Name: "silent", Role: wire.RoleAgent, Address: addr.String(), Endpoint: "e"})
 	})
 	entry := f.members[0]
-	await(t, 15*time.Second, "connected", func() bool { _, ok := entry.Agent("e"); return ok })
+	waitFor(t, 15*time.Second, "connected", func() bool { _, ok := entry.Agent("e"); return ok })
 	close(stopped)
-	await(t, 20*time.Second, "unreachable", func() bool {
+	waitFor(t, 20*time.Second, "unreachable", func() bool {
 		vm, _ := entry.View().Endpoint("e")
 		return vm.State == StateUnreachable && !vm.Connected
 	})
 }
 
-// An agent dials an entry that is connected to it already, and its new
-// connection breaks. The entry keeps the old one open for calls in flight. If
-// it took that for a connection in use, it would send the agent nothing for
-// half a minute.
+// Guards against an entry that takes a retired connection for one in use. An agent
+// dials an entry that is already connected to it, and the new connection breaks.
+// The entry keeps the old one open for calls in flight; it must dial again at once,
+// or it would send the agent nothing for half a minute.
 func TestRedialsWhileOldConnectionLingers(t *testing.T) {
 	f := newFleet(t)
 	f.publish(1)
@@ -228,12 +229,12 @@
 		return append(vms, confsvc.VM{Name: "a", Role: wire.RoleAgent, Address: addr.String(), Endpoint: "e"})
 	})
 	var first, second *peer.Conn
-	await(t, 10*time.Second, "connected", func() bool { first, _ = entry.Agent("e"); return first != nil })
+	waitFor(t, 10*time.Second, "connected", func() bool { first, _ = entry.Agent("e"); return first != nil })
 	crossing, err := agent.Dial(context.Background(), f.store.vms[0].Address)
 	assert.NilError(t, err)
-	await(t, 2*time.Second, "replaced", func() bool { second, _ = entry.Agent("e"); return second != nil && second != first })
+	waitFor(t, 2*time.Second, "replaced", func() bool { second, _ = entry.Agent("e"); return second != nil && second != first })
 	crossing.Close()
-	await(t, 5*time.Second, "connected again", func() bool {
+	waitFor(t, 5*time.Second, "connected again", func() bool {
 		third, ok := entry.Agent("e")
 		return ok && third != first && third != second
 	})
--- a/member/source_test.go
+++ b/member/source_test.go
@@ -12,9 +12,9 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// A watcher reads a new version while it is being written, and gets a part. The
-// rest follows under the same revision. If the watcher went on to watch for a
-// higher revision, the version would be in force only when the watch times out.
+// Guards against a watcher that reads an incompletely written version and then
+// watches for a higher revision. The rest is written under the same revision, so
+// the version would be in force only after the watch has timed out.
 func TestHalfWrittenValueIsReadAgain(t *testing.T) {
 	f := newFleet(t)
 	holder := bundle.NewHolder([]ed25519.PublicKey{f.pub})
@@ -31,7 +31,7 @@
 	whole := f.signed(2, "second")
 	for range 2 {
 		read(2, whole[:len(whole)/2])
-		assert.Equal(t, src.revision, uint64(1), "the revision counts as seen")
+		assert.Equal(t, src.revision, uint64(1), "the revision of a partial value must not be recorded")
 	}
 	read(2, whole)
 	assert.Equal(t, src.revision, uint64(2))
