--- a/peer/mux.go
+++ b/peer/mux.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// Handle dispatches one request of c; it implements jsonrpc2.Handler.
+// Handle dispatches a call or notification received on c. It implements
+// jsonrpc2.Handler.
 func (c *Conn) Handle(ctx context.Context, _ *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	<-c.ready
 	var raw json.RawMessage
--- a/peer/node.go
+++ b/peer/node.go
@@ -169,6 +169,8 @@
 	}
 }
 
+// newConn starts the read loop of a connection and registers it. If the node is
+// closed already, it closes the connection.
 func (n *Node) newConn(conn net.Conn) *Conn {
 	c := &Conn{node: n, remote: conn.RemoteAddr(), ready: make(chan struct{})}
 	// The read loop starts inside jsonrpc2.NewConn, before c.rpc is assigned.
@@ -196,6 +198,7 @@
 	return c
 }
 
+// awaitDisconnect waits until a connection has ended, unregisters it and calls OnClose.
 func (n *Node) awaitDisconnect(c *Conn) {
 	<-c.rpc.DisconnectNotify()
 	n.mu.Lock()
@@ -252,6 +255,8 @@
 	return c, nil
 }
 
+// clientHandshake returns conn with TLS on top, after the handshake, or conn
+// itself if it is used without TLS.
 func (n *Node) clientHandshake(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if n.cfg.TLS == nil || n.cfg.Dial != nil {
 		return conn, nil
@@ -279,6 +284,8 @@
 	return n.cfg.Hello(), nil
 }
 
+// completeHello stores a hello of the peer and, on the first one, marks the
+// connection as authenticated and calls OnConnect.
 func (c *Conn) completeHello(theirs wire.Hello) {
 	c.hello.Store(&theirs)
 	if c.authenticated.Swap(true) {
@@ -359,7 +366,7 @@
 // Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.rpc.DisconnectNotify() }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() { _ = c.rpc.Close() }
 
 // Call sends a request, waits for the reply and decodes it into result, which
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -55,7 +55,7 @@
 // broke after the write is taken for one that broke before it. The server closes
 // the connection on receiving the call, which the client must report as lost. A
 // second call on the closed connection must report that nothing was written.
-func TestLostIsNotNotWritten(t *testing.T) {
+func TestLostCallIsNotReportedAsNotWritten(t *testing.T) {
 	mux := NewMux()
 	HandleCall(mux, "run", func(_ context.Context, from *Conn, _ wire.Revoke) (wire.RevokeResult, error) {
 		from.Close()
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -101,6 +101,7 @@
 	return nil
 }
 
+// extendWriteDeadline gives the next write writeTimeout from now.
 func (s *stream) extendWriteDeadline() error {
 	return s.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
@@ -137,5 +138,5 @@
 	return nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (s *stream) Close() error { return s.conn.Close() }
