--- a/member/bundles.go
+++ b/member/bundles.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// onHead handles a notification with the head of a peer's bundle.
 func (s *Service) onHead(from *peer.Conn, head wire.BundleHead) {
 	s.stats.HeadsReceived.Add(1)
 	l := s.links.forConn(from)
@@ -98,13 +99,14 @@
 }
 
 // fetch fetches a bundle from a peer and offers it to the holder. If the holder
-// refuses it, the head is not fetched again for refusedRetention.
+// neither adopts nor collects it, the head is not fetched again for
+// refusedRetention.
 func (s *Service) fetch(task fetchTask) {
 	body, err := s.fetchBody(task)
 	if err != nil {
 		s.stats.FetchFailures.Add(1)
 		s.cfg.Log.Debug().Str("event", logBundleNotFetched).Err(err).Str("vm", task.VM).
-			Uint64("version", task.Head.Version).Msg("bundle not fetched")
+			Uint64("version", task.Head.Version).Msg("cannot fetch bundle from peer")
 	} else {
 		s.stats.BundleBytesIn.Add(int64(len(body)))
 		a := s.offer(body, "peer "+task.VM)
@@ -118,6 +120,7 @@
 	signal(s.gossipWake)
 }
 
+// fetchBody fetches a bundle from a peer and returns it in its signed form.
 func (s *Service) fetchBody(task fetchTask) ([]byte, error) {
 	l := s.links.get(task.VM)
 	if l == nil {
--- a/member/conns.go
+++ b/member/conns.go
@@ -10,6 +10,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
+// onConnect decides whether a new authenticated connection is used, and closes or
+// retires the one that is not.
 func (s *Service) onConnect(conn *peer.Conn) {
 	hello := conn.Peer()
 	if hello.Process == s.cfg.Self {
@@ -19,7 +21,7 @@
 	admitted := s.links.admit(s.cfg.Now(), conn, &hello)
 	if admitted.Stale {
 		s.cfg.Log.Warn().Str("event", logProcessRefused).Str("vm", helloVM(&hello)).
-			Str("incarnation", hello.Process.Incarnation).Str("reason", admitted.Reason).Msg("process refused")
+			Str("incarnation", hello.Process.Incarnation).Str("reason", admitted.Reason).Msg("connection of a superseded process refused")
 		conn.Close()
 		return
 	}
@@ -46,9 +48,10 @@
 // 5 a second, because any client can cause any number of them.
 var refusedLogSampler = &zerolog.BurstSampler{Burst: 5, Period: time.Second}
 
+// onHandshakeFailed logs an incoming connection whose TLS handshake failed.
 func (s *Service) onHandshakeFailed(from net.Addr, err error) {
 	log := s.cfg.Log.Sample(refusedLogSampler)
-	log.Warn().Str("event", logPeerRefused).Stringer("address", from).Err(err).Msg("peer without a valid certificate refused")
+	log.Warn().Str("event", logPeerRefused).Stringer("address", from).Err(err).Msg("incoming peer connection refused: TLS handshake failed")
 }
 
 // retireTimeout is how long a retired connection stays open. Calls may be in
@@ -73,6 +76,7 @@
 	})
 }
 
+// onRetire handles a peer's notification that it no longer uses the connection.
 func (s *Service) onRetire(from *peer.Conn, _ wire.Retire) { s.onClose(from) }
 
 // onClose removes the link of a connection that ended or that the peer retired.
--- a/member/dial.go
+++ b/member/dial.go
@@ -142,7 +142,7 @@
 		return
 	}
 	s.stats.DialFailures.Add(1)
-	s.cfg.Log.Debug().Str("event", logCannotConnect).Err(err).Str("vm", t.vm).Str("address", t.address).Msg("cannot connect")
+	s.cfg.Log.Debug().Str("event", logCannotConnect).Err(err).Str("vm", t.vm).Str("address", t.address).Msg("cannot connect to VM")
 	s.coreMu.Lock()
 	s.views.markDialFailed(t.vm)
 	s.coreMu.Unlock()
--- a/member/dialgate.go
+++ b/member/dialgate.go
@@ -14,8 +14,8 @@
 	// process or of the peer. A peer abandons a handshake after twice this time.
 	slowHandshake = time.Second
 	// connectGrace is how long a dial without a TCP connection occupies a slot. A
-	// VM that is gone never answers and causes no load, so its dial does not
-	// occupy a slot until it times out.
+	// VM that is gone never answers and causes no load, so its dial must not keep
+	// the slot until dialTimeout.
 	connectGrace = 300 * time.Millisecond
 )
 
@@ -42,6 +42,7 @@
 // of TCP: in slow start it doubles while they are fast; after a slow handshake it
 // is halved, once for all the dials then in flight; from there it grows linearly.
 type dialLimit struct {
+	// ceiling is the upper bound of limit.
 	ceiling int
 	// limit is the current limit; its integer part applies.
 	limit    float64
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -30,9 +30,9 @@
 	maxWavePeers = 64
 	// exchangeCycleTime is the time in which hellos are exchanged with all peers,
 	// one at a time; minExchangeInterval and maxExchangeInterval bound the time
-	// between two exchanges, before jitter. It distributes bundles to processes that
-	// the waves missed and detects peers that keep a connection open without
-	// replying.
+	// between two exchanges, before jitter. The exchanges distribute bundles to
+	// processes that the waves missed, and detect peers that keep a connection open
+	// without replying.
 	exchangeCycleTime   = 20 * time.Second
 	minExchangeInterval = 500 * time.Millisecond
 	maxExchangeInterval = 3 * time.Second
@@ -78,7 +78,8 @@
 	fetching map[uint64]fetchTask
 	// refused has the time at which the bundle of each head was refused.
 	refused map[wire.BundleHead]time.Time
-	// postponed means that a fetch waits for fetchRetryDelay of a peer to end.
+	// postponed means that the last planFetch skipped a peer whose fetchRetryDelay
+	// had not passed.
 	postponed bool
 	// unnotified are the peers to which head is still to be sent, in random order.
 	unnotified []string
@@ -110,10 +111,10 @@
 	headSentAt time.Time
 }
 
-func newGossipCore(self string, process wire.Process, expected int, rng *rand.Rand) *gossipCore {
+func newGossipCore(self string, process wire.Process, expectedFleetSize int, rng *rand.Rand) *gossipCore {
 	return &gossipCore{
 		rng: rng, self: self, domain: process.Domain, role: process.Role,
-		expectedFleetSize: expected, fleetSize: max(1, expected), entryCount: 1,
+		expectedFleetSize: expectedFleetSize, fleetSize: max(1, expectedFleetSize), entryCount: 1,
 		peers:    make(map[string]*gossipPeer),
 		fetching: make(map[uint64]fetchTask),
 		refused:  make(map[wire.BundleHead]time.Time),
--- a/member/links.go
+++ b/member/links.go
@@ -141,14 +141,14 @@
 func (l *links) remove(conn *peer.Conn) *link {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gone, ok := l.byConn[conn]
+	removed, ok := l.byConn[conn]
 	if !ok {
 		return nil
 	}
-	close(gone.gone)
+	close(removed.gone)
 	delete(l.byConn, conn)
-	delete(l.byVM, gone.vm)
-	return gone
+	delete(l.byVM, removed.vm)
+	return removed
 }
 
 // get returns the link to a VM, or nil.
--- a/member/lister.go
+++ b/member/lister.go
@@ -45,7 +45,7 @@
 }
 
 // readList reads the list of VMs once, applies it, publishes the view, and
-// notifies peers of VMs that are newly listed as leaving.
+// notifies peers of VMs that have started leaving.
 func (s *Service) readList() {
 	s.coreMu.Lock()
 	epoch := s.epoch
@@ -59,7 +59,7 @@
 	}
 	if err != nil {
 		s.stats.PlatformFailures.Add(1)
-		s.cfg.Log.Debug().Str("event", logListNotRead).Err(err).Msg("list of VMs not read; keeping the last view")
+		s.cfg.Log.Debug().Str("event", logListNotRead).Err(err).Msg("cannot read the list of VMs; keeping the last view")
 	}
 	s.coreMu.Lock()
 	// A list that was requested before a pause may be as old as the pause.
--- a/member/notifications.go
+++ b/member/notifications.go
@@ -26,6 +26,7 @@
 	}
 }
 
+// onReportNote handles an agent's notification of its own report.
 func (s *Service) onReportNote(from *peer.Conn, report wire.AgentReport) {
 	if report.Process != from.Peer().Process {
 		return
@@ -46,7 +47,7 @@
 	var theirs wire.Hello
 	if err := l.conn.Call(ctx, wire.MethodHello, s.hello(), &theirs); err != nil {
 		if s.ctx.Err() == nil && ctx.Err() != nil {
-			s.cfg.Log.Warn().Str("event", logPeerSilent).Str("vm", vm).Msg("peer does not answer; connection closed")
+			s.cfg.Log.Warn().Str("event", logPeerSilent).Str("vm", vm).Msg("peer did not reply to a hello in time; connection closed")
 			l.conn.Close()
 		}
 		return
--- a/member/pause.go
+++ b/member/pause.go
@@ -11,7 +11,7 @@
 const reconnectWait = 3 * time.Second
 
 // pauseLoop detects that the process was paused for a while, for example by a
-// signal or a migration of its VM. Each pause triggers onWake, which drops all
+// signal or a migration of its VM. Each pause triggers onResume, which drops all
 // connections together with their unread data, and makes the process not ready
 // until it has read the list of VMs again.
 func (s *Service) pauseLoop() {
@@ -31,11 +31,11 @@
 // the pause. It must be checked before each irreversible step.
 func (s *Service) Stalled() bool { return s.pauses.Stalled() }
 
-// onWake runs when the process has resumed from a pause of length gap.
-func (s *Service) onWake(gap time.Duration) {
+// onResume runs when the process has resumed from a pause of length gap.
+func (s *Service) onResume(gap time.Duration) {
 	s.stats.Wakes.Add(1)
-	woke := s.cfg.Now()
-	s.wokeAt.Store(&woke)
+	resumed := s.cfg.Now()
+	s.resumedAt.Store(&resumed)
 	s.coreMu.Lock()
 	s.listTried.Store(false)
 	s.epoch++
@@ -50,6 +50,6 @@
 // reconnected reports whether the process has a peer connection again after its
 // last pause, or need not wait for one any longer.
 func (s *Service) reconnected() bool {
-	woke := s.wokeAt.Load()
-	return woke == nil || s.links.count() > 0 || len(s.targets()) == 0 || s.cfg.Now().Sub(*woke) > reconnectWait
+	resumed := s.resumedAt.Load()
+	return resumed == nil || s.links.count() > 0 || len(s.targets()) == 0 || s.cfg.Now().Sub(*resumed) > reconnectWait
 }
--- a/member/service.go
+++ b/member/service.go
@@ -53,9 +53,9 @@
 	// platformTried means that the first read of the bundle from the platform has
 	// succeeded or failed.
 	platformTried atomic.Bool
-	// wokeAt is when the last pause was detected; nil if there was none.
-	wokeAt atomic.Pointer[time.Time]
-	pauses *pause.Watch
+	// resumedAt is when the last pause was detected; nil if there was none.
+	resumedAt atomic.Pointer[time.Time]
+	pauses    *pause.Watch
 
 	// The channels from dirty to collectWake have capacity one; each wakes one loop.
 	dirty       chan struct{}
@@ -93,7 +93,7 @@
 		collectWake: make(chan struct{}, 1),
 		fetchSlots:  make(chan struct{}, maxServedFetches),
 	}
-	s.pauses = pause.NewWatch(cfg.Now, s.onWake)
+	s.pauses = pause.NewWatch(cfg.Now, s.onResume)
 	empty, _ := newView(cfg.Now(), time.Time{}, nil)
 	s.view.Store(empty)
 	peer.HandleNote(cfg.Mux, wire.MethodBundleHead, s.onHead)
@@ -260,7 +260,7 @@
 	}
 	for _, claim := range claims {
 		s.cfg.Log.Warn().Str("event", logClaimedTwice).Str("vm", claim.VM).Str("endpoint", claim.Endpoint).
-			Msg("endpoint is claimed by a second process; ignored")
+			Msg("endpoint is already owned by another VM; claim ignored")
 	}
 	signal(s.dialWake)
 	if leavingChanged && s.cfg.OnLeaving != nil {
@@ -273,7 +273,7 @@
 		return
 	}
 	if err := kernel.Publish(s.cfg.Bus, topic, event); err != nil {
-		s.cfg.Log.Warn().Str("event", logNotPublished).Err(err).Str("topic", string(topic)).Msg("event not published")
+		s.cfg.Log.Warn().Str("event", logNotPublished).Err(err).Str("topic", string(topic)).Msg("cannot publish event")
 	}
 }
 
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -146,7 +146,7 @@
 	entry := f.members[0]
 	before := entry.Agents()
 	entry.access.down.Store(true)
-	entry.onWake(5 * time.Second)
+	entry.onResume(5 * time.Second)
 	for _, conn := range before {
 		<-conn.Done()
 	}
--- a/member/source.go
+++ b/member/source.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		if !src.s.canceledByStop(err) {
 			src.s.stats.PlatformFailures.Add(1)
-			src.s.cfg.Log.Debug().Str("event", logConfigNotRead).Err(err).Msg("configuration service not read")
+			src.s.cfg.Log.Debug().Str("event", logConfigNotRead).Err(err).Msg("cannot read the bundle from the configuration service")
 		}
 		return src.retryBackoff.NextBackOff()
 	}
--- a/member/viewcore.go
+++ b/member/viewcore.go
@@ -54,7 +54,8 @@
 	liveSince time.Time
 
 	connected bool
-	// dialFailed means that the last dial failed.
+	// dialFailed means that a dial has failed since the VM was last connected or
+	// changed its address.
 	dialFailed bool
 	process    wire.Process
 	report     wire.AgentReport
@@ -132,8 +133,8 @@
 // another incarnation of its process is connected, and the list shows the VM as
 // live.
 func (m *memberState) replaced() bool {
-	otherRun := m.leavingIncarnation != "" && m.leavingIncarnation != m.process.Incarnation
-	return m.connected && otherRun && m.listed && m.vm.State == confsvc.VMLive
+	otherIncarnation := m.leavingIncarnation != "" && m.leavingIncarnation != m.process.Incarnation
+	return m.connected && otherIncarnation && m.listed && m.vm.State == confsvc.VMLive
 }
 
 // clearLeaving makes a leaving VM count as live again.
