--- a/entry/admin.go
+++ b/entry/admin.go
@@ -15,11 +15,12 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Explanation is what one entry and all processes it reaches know of a request.
+// Explanation holds the records of a request from an entry and all processes
+// that it can reach.
 type Explanation struct {
 	Request string `json:"request"`
-	// Issuer is the entry that minted the ID, and Account and Pipeline are
-	// those it was minted for.
+	// Issuer is the entry that minted the ID. Account and Pipeline are the ones
+	// it was minted for.
 	Issuer   string        `json:"issuer"`
 	Account  string        `json:"account"`
 	Pipeline string        `json:"pipeline"`
@@ -34,7 +35,7 @@
 		e.reject(w, api.ReasonNotFound, "this is not a request ID of this fleet")
 		return
 	}
-	parts, story := e.tell(r.Context(), id, fields)
+	parts, story := e.mergeRecords(r.Context(), id, fields)
 	writeJSON(w, http.StatusOK, Explanation{
 		Request:  id,
 		Issuer:   fields.Entry,
@@ -45,8 +46,8 @@
 	})
 }
 
-// unreachable lists the processes that could not be asked.
-func (e *Entry) unreachable() []ledger.Part {
+// unreachableParts lists the members that this entry is not connected to.
+func (e *Entry) unreachableParts() []ledger.Part {
 	var parts []ledger.Part
 	for _, m := range e.members.View().Members {
 		if m.Connected || memberName(m) == e.cfg.Process.Name {
@@ -64,7 +65,7 @@
 	return m.VM.Name
 }
 
-// ProcessStatus is one process's status, or why there is none.
+// ProcessStatus is the status of one process, or the reason why it is missing.
 type ProcessStatus struct {
 	Process string       `json:"process"`
 	Status  *wire.Status `json:"status,omitempty"`
@@ -75,7 +76,7 @@
 	own := e.Status()
 	list := []ProcessStatus{{Process: e.cfg.Process.Name, Status: &own}}
 	list = append(list, e.gatherStatus(r.Context())...)
-	for _, p := range e.unreachable() {
+	for _, p := range e.unreachableParts() {
 		list = append(list, ProcessStatus{Process: p.Process, Missing: p.Missing})
 	}
 	writeJSON(w, http.StatusOK, list)
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -12,8 +12,8 @@
 
 const bearerPrefix = "Bearer "
 
-// credentials finds the holder of a credential by its hash. It is built once
-// for each bundle and immutable.
+// credentials maps the SHA-256 hash of a credential to its holder. It is built
+// once per bundle and immutable.
 type credentials struct {
 	accounts  map[[sha256.Size]byte]*bundle.Account
 	operators map[[sha256.Size]byte]*bundle.Operator
@@ -37,6 +37,7 @@
 	return c
 }
 
+// addHash adds holder under a hex SHA-256 hash. A malformed hash is ignored.
 func addHash[T any](to map[[sha256.Size]byte]*T, text string, holder *T) {
 	var hash [sha256.Size]byte
 	if n, err := hex.Decode(hash[:], []byte(text)); err != nil || n != sha256.Size {
@@ -45,10 +46,10 @@
 	to[hash] = holder
 }
 
-// find returns the holder of the request's bearer credential. It looks up the
-// SHA-256 of what was presented: a caller cannot choose the hash's bytes one by
-// one, so the time of the lookup tells nothing about a stored credential.
-func find[T any](from map[[sha256.Size]byte]*T, r *http.Request) *T {
+// findHolder returns the holder of the request's bearer credential, or nil. It
+// looks up the SHA-256 of the credential: a caller cannot choose the hash byte by
+// byte, so the time of the lookup reveals nothing about a stored credential.
+func findHolder[T any](from map[[sha256.Size]byte]*T, r *http.Request) *T {
 	secret, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	if !ok || secret == "" {
 		return nil
@@ -57,11 +58,12 @@
 	return from[presented]
 }
 
-func (c *credentials) account(r *http.Request) *bundle.Account { return find(c.accounts, r) }
+func (c *credentials) account(r *http.Request) *bundle.Account { return findHolder(c.accounts, r) }
 
-func (c *credentials) operator(r *http.Request) *bundle.Operator { return find(c.operators, r) }
+func (c *credentials) operator(r *http.Request) *bundle.Operator { return findHolder(c.operators, r) }
 
-// mayCall tells whether the account may use the pipeline.
+// mayCall reports whether the account may use the pipeline. An account without a
+// list of pipelines may use all of them.
 func mayCall(a *bundle.Account, pipeline string) bool {
 	return len(a.Pipelines) == 0 || slices.Contains(a.Pipelines, pipeline)
 }
--- a/entry/costs.go
+++ b/entry/costs.go
@@ -18,7 +18,7 @@
 	useful, wasted time.Duration
 }
 
-// costs adds up the time spent on endpoints by pipeline, stage and account.
+// costs sums the endpoint time used, by pipeline, stage and account.
 type costs struct {
 	mu    sync.Mutex
 	total map[costKey]cost
@@ -39,7 +39,7 @@
 	c.total[key] = sum
 }
 
-// list returns the sums in a fixed order.
+// list returns the sums sorted by pipeline, stage and account.
 func (c *costs) list() []wire.StageCost {
 	c.mu.Lock()
 	list := make([]wire.StageCost, 0, len(c.total))
--- a/entry/effects.go
+++ b/entry/effects.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// replyGrace is how long after a call's deadline its reply is still
-	// waited for, to account for its cost; the caller has its answer by then.
+	// replyGrace is how long after a call's deadline the entry still waits for
+	// the reply, to account for its cost. The caller has its answer by then.
 	replyGrace = 500 * time.Millisecond
-	// proofTimeout bounds one revocation or peek; the core stops waiting sooner.
-	proofTimeout = time.Second
+	// agentQueryTimeout bounds one revocation or peek. The core stops waiting earlier.
+	agentQueryTimeout = time.Second
 )
 
-// handle gives an event to the core and carries out its effects.
+// handle passes an event to the core and runs the resulting effects.
 func (e *Entry) handle(ev pipeline.Event) {
-	e.run(e.core.Handle(e.cfg.Now(), ev))
+	e.runEffects(e.core.Handle(e.cfg.Now(), ev))
 }
 
-func (e *Entry) run(effects []pipeline.Effect) {
+func (e *Entry) runEffects(effects []pipeline.Effect) {
 	for _, effect := range effects {
-		e.carryOut(effect)
+		e.runEffect(effect)
 	}
 }
 
-func (e *Entry) carryOut(effect pipeline.Effect) {
+func (e *Entry) runEffect(effect pipeline.Effect) {
 	switch x := effect.(type) {
 	case pipeline.Call:
-		go e.call(x, e.count(x))
+		go e.call(x, e.countInFlight(x))
 	case pipeline.Revoke:
 		go e.revoke(x)
 	case pipeline.SendPeek:
@@ -61,9 +61,9 @@
 	}
 }
 
-// count adds a call to the load of its endpoint at once, so that the next
-// decision sees it, and returns what takes it off again.
-func (e *Entry) count(c pipeline.Call) (done func()) {
+// countInFlight adds a call to the load of its endpoint immediately, so that the
+// next decision sees it. The returned function removes it from the calls in flight.
+func (e *Entry) countInFlight(c pipeline.Call) (done func()) {
 	load := e.fleet.load(c.Endpoint)
 	if load == nil {
 		return func() {}
@@ -73,7 +73,8 @@
 	return func() { load.InFlight.Add(-1) }
 }
 
-// call sends one stage call and reports its end to the core.
+// call sends one stage call, waits for its reply and reports the result to the
+// core. It calls done on return.
 func (e *Entry) call(c pipeline.Call, done func()) {
 	defer done()
 	conn, ok := e.members.Agent(c.Endpoint)
@@ -85,13 +86,13 @@
 	e.sentTo.Store(c.ID, incarnation)
 	time.AfterFunc(c.Deadline.Add(replyGrace).Sub(e.cfg.Now()), func() { e.sentTo.Delete(c.ID) })
 	if c.Unrepeatable && c.Binding == nil {
-		// The call is for the agent run at the other end of this connection and
-		// no later one: a copy that outlives the run must not reach its successor.
+		// The call is bound to the agent run at the other end of this connection:
+		// a copy that outlives that run must not be executed by its successor.
 		c.Binding = &wire.Binding{Agent: c.Endpoint, Incarnation: incarnation}
 	}
 	if after := e.fleet.overdueAfter(c.Pool, c.Endpoint); after > 0 {
 		watch := time.AfterFunc(after, func() {
-			e.moved(e.fleet.overdue(c.Pool, c.Endpoint, e.cfg.Now()))
+			e.handleTransitions(e.fleet.overdue(c.Pool, c.Endpoint, e.cfg.Now()))
 		})
 		defer watch.Stop()
 	}
@@ -105,8 +106,8 @@
 	case err != nil:
 		e.handle(pipeline.CallLost{CallID: c.ID})
 	case result.ID != c.ID:
-		// An answer to another call must never become this one's: the agent
-		// mixed up its replies, and nothing is known of this call.
+		// The agent replied with the result of another call. It must not be used
+		// for this one, whose result is unknown.
 		e.stats.mismatched.Add(1)
 		e.handle(pipeline.CallLost{CallID: c.ID})
 	default:
@@ -118,13 +119,13 @@
 func (e *Entry) revoke(r pipeline.Revoke) {
 	var result wire.RevokeResult
 	message := r.Message()
-	// Two runs of an agent may be reachable for a moment. Only the one that the
-	// call was written to can say that it did not run; its successor, never
-	// having seen the call, would say so in good faith.
+	// Two runs of an agent may be reachable for a moment. Only the run that the
+	// call was written to can confirm that it did not run; the successor never
+	// saw the call and would wrongly confirm it.
 	if incarnation, ok := e.sentTo.Load(r.CallID); ok {
 		message.Incarnation, _ = incarnation.(string)
 	}
-	if err := e.ask(r.Endpoint, wire.MethodStageRevoke, message, &result); err != nil {
+	if err := e.callAgent(r.Endpoint, wire.MethodStageRevoke, message, &result); err != nil {
 		e.handle(pipeline.RevokeLost{CallID: r.CallID})
 		return
 	}
@@ -135,20 +136,20 @@
 func (e *Entry) peek(p pipeline.SendPeek) {
 	var result wire.PeekResult
 	p.Entry, p.At = e.name(), e.cfg.Now()
-	if err := e.ask(p.Endpoint, wire.MethodStagePeek, p.Peek, &result); err != nil {
+	if err := e.callAgent(p.Endpoint, wire.MethodStagePeek, p.Peek, &result); err != nil {
 		e.handle(pipeline.PeekLost{RequestID: p.RequestID, Seq: p.Seq, Stage: p.Stage})
 		return
 	}
 	e.handle(pipeline.PeekReply{RequestID: p.RequestID, Seq: p.Seq, Stage: p.Stage, PeekResult: result})
 }
 
-// ask calls an idempotent method of an endpoint's agent.
-func (e *Entry) ask(endpoint, method string, params, result any) error {
+// callAgent calls an idempotent method of an endpoint's agent.
+func (e *Entry) callAgent(endpoint, method string, params, result any) error {
 	conn, ok := e.members.Agent(endpoint)
 	if !ok {
 		return peer.ErrNotWritten.New("no connection to %s", endpoint)
 	}
-	ctx, cancel := context.WithTimeout(e.ctx, proofTimeout)
+	ctx, cancel := context.WithTimeout(e.ctx, agentQueryTimeout)
 	defer cancel()
 	return conn.Call(ctx, method, params, result)
 }
@@ -159,12 +160,12 @@
 		return
 	}
 	e.stats.outcome(r.Outcome())
-	w.done()
+	w.onReply()
 	w.finish(r.Final)
 }
 
-// record keeps a fact, and gives a copy of a refusal to other entries: it
-// touched no agent, so this entry alone would know of it.
+// record stores a record and sends copies of a refusal to other entries. A
+// refused request reached no agent, so only this entry would know of it.
 func (e *Entry) record(r pipeline.Record) {
 	r.Process = e.cfg.Process.Name
 	e.cfg.Records.Add(r.Record)
@@ -179,33 +180,34 @@
 	}
 }
 
-// recordCopies is the number of entries that get a copy of a refusal.
+// recordCopies is the number of other entries that get a copy of a refusal.
 const recordCopies = 2
 
-// observe feeds the estimates and the health of endpoints. Time spent waiting
-// at the agent is load and not slowness, so neither counts it.
+// observe updates the latency estimates and the health of the endpoint. Time
+// spent queued at the agent is load, not slowness, so neither includes it.
 func (e *Entry) observe(o pipeline.Observe) {
 	now := e.cfg.Now()
 	if o.Revoked {
 		return
 	}
 	if o.Outcome == route.CallSucceeded {
-		if !e.pauses.spanned(now.Add(-o.Took), now) {
+		if !e.pauses.pausedSince(now.Add(-o.Took), now) {
 			e.estimates.Observe(route.StageKey{Pool: o.Pool, Stage: o.Stage}, o.Took-o.Queued, now)
 		}
 		e.current.Load().retry.Success(o.Pool, now)
 	}
-	e.moved(e.fleet.observe(o.Pool, o.Endpoint, o.Outcome, o.Ran, now))
+	e.handleTransitions(e.fleet.observe(o.Pool, o.Endpoint, o.Outcome, o.Ran, now))
 }
 
-// moved follows changes of endpoints' states. The calls that wait on an endpoint
-// that is ejected get a second attempt elsewhere: it may be stopped, with its
-// connections open, and then no error would ever end them.
-func (e *Entry) moved(transitions []route.Transition) {
+// handleTransitions logs health transitions and tells the core of ejected
+// endpoints, so that calls in flight there get a second attempt elsewhere. An
+// ejected endpoint may be paused with its connections open, and then those calls
+// would never fail by themselves.
+func (e *Entry) handleTransitions(transitions []route.Transition) {
 	e.logTransitions(transitions)
 	for _, t := range transitions {
 		if t.To == route.StateEjected {
-			e.run(e.core.EndpointEjected(e.cfg.Now(), t.Endpoint))
+			e.runEffects(e.core.EndpointEjected(e.cfg.Now(), t.Endpoint))
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the shell of an entry: it takes callers' requests by HTTP,
-// lets the pipeline core decide, and carries out what the core asks for.
+// Package entry serves callers' requests over HTTP. It passes events to the
+// pipeline core, which makes the decisions, and executes the core's effects.
 package entry
 
 import (
@@ -25,14 +25,16 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// tickInterval is how often transitions that are due by time are made.
+// tickInterval is the period of the background work: health transitions that
+// depend on time, crash counts, waiting requests and membership views.
 const tickInterval = 100 * time.Millisecond
 
-// pauseGap is the time between two ticks from which on the process must have
-// been stopped.
-const pauseGap = time.Second
+// failureResetGap is the time between two ticks above which this process was
+// certainly paused and the failures that it saw may be its own fault.
+const failureResetGap = time.Second
 
-// Members is what an entry needs of the membership; *member.Service is one.
+// Members is the part of the membership service that an entry uses.
+// *member.Service implements it.
 type Members interface {
 	Agent(endpoint string) (*peer.Conn, bool)
 	Agents() []*peer.Conn
@@ -42,7 +44,7 @@
 	Stalled() bool
 }
 
-// Config is what an Entry is made of.
+// Config configures an Entry.
 type Config struct {
 	Process wire.Process
 	// FleetKeys sign and verify request IDs; the first signs.
@@ -51,13 +53,14 @@
 	// Now is the clock; nil means time.Now.
 	Now     func() time.Time
 	Records *ledger.Store
-	// MaxBody bounds request bodies in bytes, whatever the bundle says.
+	// MaxBody is the largest accepted request body in bytes. A bundle can lower
+	// it for a pipeline but not raise it.
 	MaxBody int64
-	// RefusalsOnly leaves the choice of an endpoint out of the log, unless none was found.
+	// RefusalsOnly means that routing decisions are logged only if no endpoint was found.
 	RefusalsOnly bool
 }
 
-// Entry serves callers.
+// Entry serves callers' requests and routes their stages to endpoints.
 type Entry struct {
 	cfg       Config
 	core      *pipeline.Core
@@ -66,31 +69,34 @@
 	costs     *costs
 	waiters   *waiters
 	stats     stats
-	pauses    pauseWatch
+	pauses    pauseDetector
 
 	members Members
 	current atomic.Pointer[generation]
-	refs    atomic.Uint64
-	// sentTo holds the incarnation of the agent that each call was written to,
-	// by wire.CallID, until the call's deadline has passed.
+	// refs is the last reference number given to a submission.
+	refs atomic.Uint64
+	// sentTo maps each wire.CallID to the incarnation of the agent that the call
+	// was sent to. Elements are deleted replyGrace after the call's deadline.
 	sentTo sync.Map
 
-	// resuming is held by the one that sends waiting requests on.
+	// resuming is held by the goroutine that dispatches waiting requests.
 	resuming sync.Mutex
 
-	suspects suspectShare
+	suspects crashSharing
+	// draining is true from the start of Drain: the entry reports unready.
 	draining atomic.Bool
+	// refusing is true once Drain has waited for the balancer: new requests are refused.
 	refusing atomic.Bool
-	// viewed is set once routing follows the membership.
-	viewed  atomic.Bool
-	wg      sync.WaitGroup
-	stop    context.CancelFunc
-	ctx     context.Context
-	started time.Time
+	// viewApplied is true once the first membership view has been applied.
+	viewApplied atomic.Bool
+	wg          sync.WaitGroup
+	stop        context.CancelFunc
+	ctx         context.Context
+	started     time.Time
 }
 
-// generation is everything that follows from one adopted bundle. It is
-// immutable but for the state of its policies.
+// generation is everything that is derived from one adopted bundle. It is
+// immutable except for the state inside its policies.
 type generation struct {
 	verified *bundle.Verified
 	creds    *credentials
@@ -125,11 +131,11 @@
 	return e
 }
 
-// name names this run of the entry, so that what an earlier run said is never
-// taken for its own.
+// name identifies this run of the entry by name and incarnation, so that
+// messages of an earlier run are not mistaken for its own.
 func (e *Entry) name() string { return e.cfg.Process.Name + "@" + e.cfg.Process.Incarnation }
 
-// Register adds the entry's methods to mux. It is called before Start.
+// Register adds the entry's peer methods to mux. It must be called before Start.
 func (e *Entry) Register(mux *peer.Mux) {
 	peer.HandleNote(mux, wire.MethodStageChunk, func(_ *peer.Conn, c wire.StageChunk) {
 		e.handle(pipeline.StageChunk{StageChunk: c})
@@ -150,7 +156,7 @@
 	})
 }
 
-// Start begins to serve with the given membership.
+// Start starts the background work with the given membership.
 func (e *Entry) Start(members Members) {
 	e.members = members
 	e.wg.Add(1)
@@ -170,25 +176,26 @@
 		case <-ticker.C:
 		}
 		now := e.cfg.Now()
-		if now.Sub(last) > pauseGap {
-			e.fleet.pardon()
+		if now.Sub(last) > failureResetGap {
+			e.fleet.resetFailures()
 		}
 		last = now
 		e.pauses.tick(now)
-		e.moved(e.fleet.tick(now))
-		e.shareSuspects(now)
+		e.handleTransitions(e.fleet.tick(now))
+		e.shareCrashCounts(now)
 		e.resumeWaiting()
-		// A connection that comes or goes is no event of its own but makes a
-		// new view.
+		// Connection changes are not reported separately; each of them produces
+		// a new view.
 		if view := e.members.View(); view != applied {
 			applied = view
 			e.ApplyView(view)
-			e.viewed.Store(true)
+			e.viewApplied.Store(true)
 		}
 	}
 }
 
-// ApplyBundle puts an adopted bundle in force for requests that come after it.
+// ApplyBundle makes an adopted bundle effective for subsequent requests. It
+// fails, and the previous bundle stays in force, if a policy cannot be built.
 func (e *Entry) ApplyBundle(v *bundle.Verified) error {
 	policy := v.Bundle.Policy
 	router, err := route.NewRouter(policy)
@@ -214,8 +221,9 @@
 	return nil
 }
 
-// retrierFor keeps the budgets over a new version with the same policy: new
-// ones would start with a reserve for retries that was already spent.
+// retrierFor reuses the retry policy and its budgets if the bundle's policy is
+// unchanged. New budgets would start with a full reserve of retries although it
+// was already spent.
 func (e *Entry) retrierFor(policy bundle.Policy) (retry.Policy, error) {
 	if old := e.current.Load(); old != nil && old.verified.Bundle.Policy == policy {
 		return old.retry, nil
@@ -223,8 +231,8 @@
 	return retry.New(policy)
 }
 
-// limiterFor keeps the limiter's state over a new version: a full bucket after
-// each of a day's many versions would lift the limits.
+// limiterFor reuses the limiter if the policy has the same name. Bundles change
+// many times a day, and a full bucket after each change would lift the limits.
 func (e *Entry) limiterFor(policy bundle.Policy) (limit.Limiter, error) {
 	if old := e.current.Load(); old != nil && old.verified.Bundle.Policy.Name == policy.Name {
 		return old.limiter, nil
@@ -232,8 +240,8 @@
 	return limit.New(policy)
 }
 
-// suspectsFor keeps the crash counts over a new version; forgetting them would
-// let a request that crashes endpoints begin anew with each version.
+// suspectsFor keeps the crash counts across bundle versions. Otherwise a request
+// that crashes endpoints could be run again after each new version.
 func (e *Entry) suspectsFor(policy bundle.Policy) *suspect.Table {
 	old := e.current.Load()
 	if old != nil && old.verified.Bundle.Policy.CrashLimit == policy.CrashLimit {
@@ -247,9 +255,9 @@
 	return table
 }
 
-// ApplyView takes in a change of the membership.
+// ApplyView updates routing to a new membership view.
 func (e *Entry) ApplyView(v *member.View) {
-	var places []place
+	var endpoints []memberEndpoint
 	entries := 0
 	for i := range v.Members {
 		m := &v.Members[i]
@@ -262,16 +270,16 @@
 		if owner, ok := v.Endpoint(m.VM.Endpoint); !ok || owner.VM.Name != m.VM.Name {
 			continue
 		}
-		places = append(places, place{
+		endpoints = append(endpoints, memberEndpoint{
 			Endpoint: m.VM.Endpoint,
 			Pool:     m.VM.Pool,
 			Domain:   m.VM.Domain,
-			Away:     away(m),
+			Away:     unavailability(m),
 		})
 	}
-	e.fleet.setPlaces(places, 1+entries, e.cfg.Now())
-	// A report may have come before its endpoint was a member, and was dropped
-	// then; the view holds the latest.
+	e.fleet.setMembers(endpoints, 1+entries, e.cfg.Now())
+	// A report that arrived before its endpoint became a member may have been
+	// dropped. The view holds the latest report of each member.
 	for i := range v.Members {
 		if v.Members[i].Report.Seq > 0 {
 			e.ApplyReport(v.Members[i].Report)
@@ -279,9 +287,9 @@
 	}
 }
 
-// away is why a member's endpoint takes no work; empty if it does. A call to
-// one that is unreachable could not be written.
-func away(m *member.Member) route.Away {
+// unavailability returns why a member's endpoint takes no work, or "" if it
+// does. A call to an endpoint whose agent is not connected could not be written.
+func unavailability(m *member.Member) route.Away {
 	switch {
 	case m.State == member.StateLeaving:
 		return route.AwayLeaving
@@ -292,14 +300,15 @@
 	}
 }
 
-// ApplyReport takes in an agent's report.
+// ApplyReport updates routing with an agent's report and dispatches waiting
+// requests if there is capacity now.
 func (e *Entry) ApplyReport(r wire.AgentReport) {
 	e.fleet.setReport(r, e.cfg.Now())
 	e.resumeWaiting()
 }
 
-// resumeWaiting sends requests that wait for an endpoint to those that are
-// back. One goroutine at a time does so, or each would fill the same places.
+// resumeWaiting dispatches requests that wait for a usable endpoint. Only one
+// goroutine does so at a time; several would fill the same free slots.
 func (e *Entry) resumeWaiting() {
 	if e.core.Waiting() == 0 || !e.resuming.TryLock() {
 		return
@@ -307,24 +316,25 @@
 	defer e.resuming.Unlock()
 	for _, pool := range e.core.WaitingPools() {
 		now := e.cfg.Now()
-		if room := e.fleet.room(pool, now); room > 0 {
-			e.run(e.core.EndpointsBack(now, pool, room))
+		if room := e.fleet.waitingCapacity(pool, now); room > 0 {
+			e.runEffects(e.core.EndpointsBack(now, pool, room))
 		}
 	}
 }
 
-// Ready tells the balancer whether to send callers here.
+// Ready reports whether the load balancer may send callers to this entry.
 func (e *Entry) Ready() bool {
-	// Until the first view is applied there is no endpoint to route to, and
-	// callers would be refused for want of one.
-	return !e.draining.Load() && e.current.Load() != nil && e.viewed.Load() && e.members.Ready()
+	// Until the first view is applied no endpoint is known and every request
+	// would be refused.
+	return !e.draining.Load() && e.current.Load() != nil && e.viewApplied.Load() && e.members.Ready()
 }
 
-// Usable is the number of endpoints that this entry would send work to.
+// Usable returns the number of endpoints that this entry may send work to.
 func (e *Entry) Usable() int { return e.fleet.usable() }
 
-// Drain makes the entry unready, waits until the balancer has noticed, then
-// refuses new requests and waits for those in flight or for ctx.
+// Drain makes the entry unready, waits for balancerWait so that the load
+// balancer notices, then refuses new requests and waits until those in flight
+// have been answered. It returns ctx's error if ctx ends first.
 func (e *Entry) Drain(ctx context.Context, balancerWait time.Duration) error {
 	e.draining.Store(true)
 	wait := time.NewTimer(balancerWait)
@@ -338,13 +348,13 @@
 	return e.waiters.waitEmpty(ctx)
 }
 
-// Stop ends background work.
+// Stop ends the background work and waits for the tick loop to return.
 func (e *Entry) Stop() {
 	e.stop()
 	e.wg.Wait()
 }
 
-// Status returns what `mangostage status` shows of this process.
+// Status returns the state that `mangostage status` shows for this process.
 func (e *Entry) Status() wire.Status {
 	s := wire.Status{
 		Process:  e.cfg.Process,
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -11,39 +11,41 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// snapshotInterval bounds how often reports rebuild the snapshot: each reply
-// carries a report, and one rebuild for each would cost more than routing.
+// snapshotInterval is the least time between two snapshots that are made only
+// for new reports. Each reply carries a report, and a new snapshot for each
+// would cost more than routing.
 const snapshotInterval = 2 * time.Millisecond
 
-// place is what the membership says of an endpoint.
-type place struct {
+// memberEndpoint is an endpoint as the membership lists it.
+type memberEndpoint struct {
 	Endpoint string
 	Pool     string
 	Domain   string
-	// Away is why it takes no work; empty if it does.
+	// Away is why the endpoint takes no work; empty if it does.
 	Away route.Away
 }
 
-// fleet turns membership, reports and health into routing snapshots.
+// fleet builds routing snapshots from membership, agent reports and endpoint health.
 type fleet struct {
 	entry  string
 	domain string
 
 	current atomic.Pointer[route.Snapshot]
-	dirty   atomic.Bool
+	// dirty is true if a report arrived after the current snapshot was made.
+	dirty atomic.Bool
 
 	mu      sync.Mutex
-	places  map[string]place
+	members map[string]memberEndpoint
 	reports map[string]report
 	loads   map[string]*route.Load
 	health  *route.Health
-	// entries is the number of live entries, which share the endpoints.
+	// entries is the number of live entries that share the endpoints, this one included.
 	entries int
-	// fresh names the endpoints with a report that no snapshot shows yet.
-	fresh map[string]bool
+	// unpublished holds the endpoints whose latest report is in no snapshot yet.
+	unpublished map[string]bool
 }
 
-// report is an agent's latest word on its endpoint.
+// report is the latest report of an agent and the time of its arrival.
 type report struct {
 	wire.AgentReport
 	at time.Time
@@ -51,48 +53,49 @@
 
 func newFleet(entry, domain string) *fleet {
 	f := &fleet{
-		entry:   entry,
-		domain:  domain,
-		places:  make(map[string]place),
-		reports: make(map[string]report),
-		loads:   make(map[string]*route.Load),
-		health:  route.NewHealth(),
-		entries: 1,
-		fresh:   make(map[string]bool),
+		entry:       entry,
+		domain:      domain,
+		members:     make(map[string]memberEndpoint),
+		reports:     make(map[string]report),
+		loads:       make(map[string]*route.Load),
+		health:      route.NewHealth(),
+		entries:     1,
+		unpublished: make(map[string]bool),
 	}
 	f.current.Store(&route.Snapshot{Domain: domain, Pools: make(map[string]*route.Pool)})
 	return f
 }
 
-// setPlaces replaces the membership.
-func (f *fleet) setPlaces(places []place, entries int, now time.Time) {
+// setMembers replaces the membership and forgets reports and loads of endpoints
+// that are no longer members.
+func (f *fleet) setMembers(endpoints []memberEndpoint, entries int, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.places)
+	clear(f.members)
 	f.entries = entries
 	byPool := make(map[string][]string)
-	for _, p := range places {
-		f.places[p.Endpoint] = p
+	for _, p := range endpoints {
+		f.members[p.Endpoint] = p
 		byPool[p.Pool] = append(byPool[p.Pool], p.Endpoint)
 		if f.loads[p.Endpoint] == nil {
 			f.loads[p.Endpoint] = new(route.Load)
 		}
 	}
-	maps.DeleteFunc(f.reports, func(name string, _ report) bool { return !f.member(name) })
-	maps.DeleteFunc(f.loads, func(name string, _ *route.Load) bool { return !f.member(name) })
+	maps.DeleteFunc(f.reports, func(name string, _ report) bool { return !f.isMember(name) })
+	maps.DeleteFunc(f.loads, func(name string, _ *route.Load) bool { return !f.isMember(name) })
 	for pool, names := range byPool {
 		f.health.SetMembers(pool, names, now)
 	}
 	f.rebuild(now)
 }
 
-func (f *fleet) member(endpoint string) bool {
-	_, ok := f.places[endpoint]
+func (f *fleet) isMember(endpoint string) bool {
+	_, ok := f.members[endpoint]
 	return ok
 }
 
-// setReport takes in an agent's report. One that is older than the latest of
-// the same incarnation came late or out of order and is dropped.
+// setReport stores an agent's report. A report that is not newer than the latest
+// of the same incarnation arrived out of order and is dropped.
 func (f *fleet) setReport(r wire.AgentReport, now time.Time) {
 	if r.Endpoint == "" {
 		return
@@ -104,33 +107,37 @@
 		return
 	}
 	f.reports[r.Endpoint] = report{AgentReport: r, at: now}
-	f.fresh[r.Endpoint] = true
+	f.unpublished[r.Endpoint] = true
 	f.dirty.Store(true)
 	if r.Draining != last.Draining || r.Down != last.Down || last.Capacity == 0 {
 		f.refresh(now)
 	}
 }
 
-// observe takes in how a call to an endpoint ended.
+// observe updates the endpoint's health with the outcome of a call that ran for
+// the given time, and returns the resulting transitions.
 func (f *fleet) observe(pool, endpoint string, outcome route.CallOutcome, ran time.Duration, now time.Time) []route.Transition {
-	return f.judge(now, func(h *route.Health) []route.Transition {
+	return f.updateHealth(now, func(h *route.Health) []route.Transition {
 		return h.Observe(pool, endpoint, outcome, ran, now)
 	})
 }
 
-// overdue takes in that a call has been running for long and is not finished.
+// overdue updates the endpoint's health for a call that has run for longer than
+// overdueAfter and has not finished.
 func (f *fleet) overdue(pool, endpoint string, now time.Time) []route.Transition {
-	return f.judge(now, func(h *route.Health) []route.Transition {
+	return f.updateHealth(now, func(h *route.Health) []route.Transition {
 		return h.Overdue(pool, endpoint, now)
 	})
 }
 
-// tick makes the health transitions that are due by time alone.
+// tick makes the health transitions that depend on time alone.
 func (f *fleet) tick(now time.Time) []route.Transition {
-	return f.judge(now, func(h *route.Health) []route.Transition { return h.Tick(now) })
+	return f.updateHealth(now, func(h *route.Health) []route.Transition { return h.Tick(now) })
 }
 
-func (f *fleet) judge(now time.Time, event func(*route.Health) []route.Transition) []route.Transition {
+// updateHealth applies event to the health state and publishes a new snapshot if
+// an endpoint's state changed.
+func (f *fleet) updateHealth(now time.Time, event func(*route.Health) []route.Transition) []route.Transition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	transitions := event(f.health)
@@ -140,9 +147,9 @@
 	return transitions
 }
 
-// overdueAfter is the time from which a call that is sent now tells of a slow
-// endpoint; zero if not known. Calls that are ahead of it at the agent are load
-// and not slowness, so their time is added.
+// overdueAfter returns the duration after which a call sent now indicates a slow
+// endpoint; zero if it is not known. The time of calls that are queued ahead of
+// it at the agent is added, because they are load and not slowness.
 func (f *fleet) overdueAfter(pool, endpoint string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,15 +168,15 @@
 	return after + r.P50*time.Duration(ahead-r.Capacity)/time.Duration(r.Capacity)
 }
 
-// pardon forgets failures that a pause of this process may have caused.
-func (f *fleet) pardon() {
+// resetFailures forgets failures that a pause of this process may have caused.
+func (f *fleet) resetFailures() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.health.Pardon()
 }
 
-// snapshot returns a view no older than the latest change of state and, for
-// load, than snapshotInterval.
+// snapshot returns a snapshot that includes every change of membership and
+// health, and whose load figures lag by at most about snapshotInterval.
 func (f *fleet) snapshot(now time.Time) *route.Snapshot {
 	snap := f.current.Load()
 	if !f.dirty.Load() || now.Sub(snap.At) < snapshotInterval {
@@ -183,52 +190,54 @@
 	return f.current.Load()
 }
 
-// refresh shows the fresh reports. Membership is as it was, so all other
-// endpoints are taken over.
+// refresh publishes a snapshot with the unpublished reports. The membership is
+// unchanged, so all other endpoints are copied from the current snapshot.
 func (f *fleet) refresh(now time.Time) {
 	f.dirty.Store(false)
 	old := f.current.Load()
 	snap := &route.Snapshot{At: now, Domain: f.domain, Pools: maps.Clone(old.Pools)}
-	for name := range f.fresh {
-		p, ok := f.places[name]
+	for name := range f.unpublished {
+		p, ok := f.members[name]
 		if !ok {
 			continue
 		}
 		if pool := snap.Pools[p.Pool]; pool != nil {
-			snap.Pools[p.Pool] = pool.Replace(f.endpoint(p))
+			snap.Pools[p.Pool] = pool.Replace(f.buildEndpoint(p))
 		}
 	}
-	f.show(snap)
+	f.publish(snap)
 }
 
-// show puts a snapshot in place. The own sends are forgotten only once
-// decisions see the report that counts them; the other way round an endpoint
-// would look idle between.
-func (f *fleet) show(snap *route.Snapshot) {
+// publish makes snap the current snapshot and then resets the count of calls
+// sent since the report. Resetting first would make an endpoint look idle until
+// the snapshot shows the report that includes those calls.
+func (f *fleet) publish(snap *route.Snapshot) {
 	f.current.Store(snap)
-	for name := range f.fresh {
+	for name := range f.unpublished {
 		if load := f.loads[name]; load != nil {
 			load.SentSinceReport.Store(0)
 		}
 	}
-	clear(f.fresh)
+	clear(f.unpublished)
 }
 
+// rebuild publishes a snapshot of all members.
 func (f *fleet) rebuild(now time.Time) {
 	f.dirty.Store(false)
 	byPool := make(map[string][]*route.Endpoint)
-	for _, p := range f.places {
-		byPool[p.Pool] = append(byPool[p.Pool], f.endpoint(p))
+	for _, p := range f.members {
+		byPool[p.Pool] = append(byPool[p.Pool], f.buildEndpoint(p))
 	}
 	old := f.current.Load()
 	snap := &route.Snapshot{At: now, Domain: f.domain, Pools: make(map[string]*route.Pool, len(byPool))}
 	for name, endpoints := range byPool {
-		snap.Pools[name] = f.pool(old.Pools[name], name, endpoints)
+		snap.Pools[name] = f.buildPool(old.Pools[name], name, endpoints)
 	}
-	f.show(snap)
+	f.publish(snap)
 }
 
-func (f *fleet) pool(old *route.Pool, name string, endpoints []*route.Endpoint) *route.Pool {
+// buildPool returns the pool of a new snapshot, made from the old one if there is one.
+func (f *fleet) buildPool(old *route.Pool, name string, endpoints []*route.Endpoint) *route.Pool {
 	var pool *route.Pool
 	if old != nil {
 		pool = old.Refresh(f.entry, endpoints)
@@ -239,7 +248,8 @@
 	return pool
 }
 
-func (f *fleet) endpoint(p place) *route.Endpoint {
+// buildEndpoint combines what is known of a member endpoint for a snapshot.
+func (f *fleet) buildEndpoint(p memberEndpoint) *route.Endpoint {
 	r := f.reports[p.Endpoint]
 	e := &route.Endpoint{
 		Name:       p.Endpoint,
@@ -250,8 +260,8 @@
 		State:      f.health.State(p.Pool, p.Endpoint),
 		Load:       f.loads[p.Endpoint],
 	}
-	// An agent that has told its load but no capacity holds no bundle yet and
-	// would refuse every call.
+	// An agent that reports no capacity has no bundle yet and would refuse every
+	// call.
 	unready := r.Seq > 0 && r.Capacity == 0
 	switch {
 	case p.Away != "":
@@ -267,9 +277,10 @@
 	return e
 }
 
-// room returns how many waiting requests the pool takes now. An endpoint
-// that takes work but is full gets one at a time, with each report: it queues.
-func (f *fleet) room(pool string, now time.Time) int {
+// waitingCapacity returns how many waiting requests may be dispatched to the
+// pool now: its free slots, or one if usable endpoints are all full, since their
+// agents queue calls. With each report one more can follow.
+func (f *fleet) waitingCapacity(pool string, now time.Time) int {
 	p := f.snapshot(now).Pools[pool]
 	if p == nil {
 		return 0
@@ -281,14 +292,14 @@
 	return max(1, free)
 }
 
-// load returns the entry's own counters for an endpoint, or nil.
+// load returns the entry's own counters for an endpoint, or nil if it is no member.
 func (f *fleet) load(endpoint string) *route.Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.loads[endpoint]
 }
 
-// incarnation returns the running incarnation of the agent beside an endpoint.
+// incarnation returns the incarnation in the latest report of the endpoint's agent.
 func (f *fleet) incarnation(endpoint string) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -308,7 +319,7 @@
 	return list
 }
 
-// usable counts the endpoints that may take work.
+// usable returns the number of endpoints that may be sent work.
 func (f *fleet) usable() int {
 	n := 0
 	for _, pool := range f.current.Load().Pools {
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -24,20 +24,19 @@
 
 func testFleet(n int, now time.Time) *fleet {
 	f := newFleet("entry-1", "north")
-	places := make([]place, n)
-	for i := range places {
-		places[i] = place{Endpoint: fmt.Sprintf("engines-%d", i+1), Pool: "engines", Domain: "north"}
+	members := make([]memberEndpoint, n)
+	for i := range members {
+		members[i] = memberEndpoint{Endpoint: fmt.Sprintf("engines-%d", i+1), Pool: "engines", Domain: "north"}
 	}
-	f.setPlaces(places, 1, now)
-	for _, p := range places {
+	f.setMembers(members, 1, now)
+	for _, p := range members {
 		f.setReport(agentReport(p.Endpoint, "i1", 1, 0), now)
 	}
 	return f
 }
 
-// Replies overtake each other on their way, so a report may come after one
-// that is newer. Taking the older one would show a full endpoint as idle and
-// send it the next burst.
+// Replies can arrive out of order, so an older report may follow a newer one.
+// Using it would show a full endpoint as idle and route the next burst to it.
 func TestLateReportIsDropped(t *testing.T) {
 	now := time.Now()
 	f := testFleet(2, now)
@@ -50,9 +49,10 @@
 	assert.Equal(t, shown.Report.Process.Incarnation, "i2", "a restarted agent counts from one")
 }
 
-// Between a report's arrival and the snapshot that shows it, the own sends are
-// the only sign of load. Forgetting them early makes the endpoint look idle.
-func TestOwnSendsAreKeptUntilTheReportShows(t *testing.T) {
+// Until a snapshot shows a newly arrived report, the count of calls sent since
+// the last report is the only sign of load. Resetting it earlier would make the
+// endpoint look idle.
+func TestSentCountIsKeptUntilReportIsPublished(t *testing.T) {
 	now := time.Now()
 	f := testFleet(1, now)
 	load := f.load("engines-1")
@@ -72,15 +72,15 @@
 	f.setReport(draining, now)
 	assert.Equal(t, f.snapshot(now).Pools["engines"].Endpoint("engines-1").State, route.StateLeaving)
 	assert.Equal(t, f.usable(), 1)
-	f.setPlaces([]place{{Endpoint: "engines-2", Pool: "engines", Away: route.AwayLeaving}}, 1, now)
+	f.setMembers([]memberEndpoint{{Endpoint: "engines-2", Pool: "engines", Away: route.AwayLeaving}}, 1, now)
 	assert.Equal(t, f.usable(), 0)
-	assert.Assert(t, f.load("engines-1") == nil, "a member that is gone is forgotten")
+	assert.Assert(t, f.load("engines-1") == nil, "a removed member is forgotten")
 }
 
-// In a burst calls wait at the agents of sound endpoints for longer than three
-// usual calls take. Counted as slow, they would eject endpoints just when each
-// is needed.
-func TestWaitingIsNotOverdue(t *testing.T) {
+// In a burst, calls queue at the agents of healthy endpoints for longer than
+// three typical calls take. Counting them as slow would eject endpoints when all
+// of them are needed.
+func TestQueueingIsNotOverdue(t *testing.T) {
 	now := time.Now()
 	f := testFleet(3, now)
 	for i := range 20 {
@@ -88,13 +88,13 @@
 			f.observe("engines", name, route.CallSucceeded, time.Second, now.Add(time.Duration(i)*time.Second))
 		}
 	}
-	usual := f.overdueAfter("engines", "engines-1")
-	assert.Assert(t, usual > 3*time.Second && usual < 4*time.Second, "%v", usual)
+	base := f.overdueAfter("engines", "engines-1")
+	assert.Assert(t, base > 3*time.Second && base < 4*time.Second, "%v", base)
 	queue := agentReport("engines-1", "i1", 2, 16)
 	queue.Queued, queue.P50 = 32, time.Second
 	f.setReport(queue, now)
-	assert.Equal(t, f.overdueAfter("engines", "engines-1"), usual+2*time.Second)
-	assert.Equal(t, f.overdueAfter("engines", "engines-2"), usual)
+	assert.Equal(t, f.overdueAfter("engines", "engines-1"), base+2*time.Second)
+	assert.Equal(t, f.overdueAfter("engines", "engines-2"), base)
 }
 
 func BenchmarkReportAndSnapshot(b *testing.B) {
--- a/entry/http.go
+++ b/entry/http.go
@@ -10,23 +10,24 @@
 	"github.com/mangostage/mangostage/bundle"
 )
 
-// Paths of the HTTP API.
+// Paths and path parameters of the HTTP API, and the largest body in bytes of a
+// call that submits no request.
 const (
-	pathSubmit   = "/v1/pipelines/{pipeline}/requests"
-	pathIDs      = "/v1/request-ids"
-	pathRequest  = "/v1/requests/{id}"
-	pathHealth   = "/healthz"
-	pathReady    = "/readyz"
-	pathVars     = "/debug/vars"
-	pathExplain  = "/admin/v1/requests/{id}/explain"
-	pathStatus   = "/admin/v1/status"
-	paramID      = "id"
-	paramPipe    = "pipeline"
-	maxSmallBody = 4 << 10
+	pathSubmit    = "/v1/pipelines/{pipeline}/requests"
+	pathIDs       = "/v1/request-ids"
+	pathRequest   = "/v1/requests/{id}"
+	pathHealth    = "/healthz"
+	pathReady     = "/readyz"
+	pathVars      = "/debug/vars"
+	pathExplain   = "/admin/v1/requests/{id}/explain"
+	pathStatus    = "/admin/v1/status"
+	paramID       = "id"
+	paramPipeline = "pipeline"
+	maxSmallBody  = 4 << 10
 )
 
-// Handler returns the HTTP API of callers, operators and the balancer; vars
-// serves the process's metrics.
+// Handler returns the HTTP handler for callers, operators and the load balancer.
+// vars serves the process's metrics.
 func (e *Entry) Handler(vars http.HandlerFunc) http.Handler {
 	r := chi.NewRouter()
 	r.Use(middleware.Recoverer)
@@ -57,15 +58,16 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// reject answers a caller's mistake. Nothing of such a request is kept: anyone
-// can make any number of them.
+// reject answers an invalid request with a problem. It records nothing about the
+// request, since any client can send any number of them.
 func (e *Entry) reject(w http.ResponseWriter, reason api.Reason, detail string) {
 	e.stats.rejected.Add(1)
 	writeProblem(w, refusal(e.newRequestID("", ""), reason, detail))
 }
 
-// authenticate returns the caller's account under the bundle in force. It
-// answers the caller itself, and returns no account, if there is none.
+// authenticate returns the current generation and the caller's account. If there
+// is no bundle or no matching account, it writes the problem itself and returns
+// a nil account.
 func (e *Entry) authenticate(w http.ResponseWriter, r *http.Request) (*generation, *bundle.Account) {
 	g := e.current.Load()
 	if g == nil {
@@ -79,7 +81,7 @@
 	return g, account
 }
 
-// operatorOnly lets only operators of the bundle in force through.
+// operatorOnly wraps next so that only operators of the current bundle can call it.
 func (e *Entry) operatorOnly(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		g := e.current.Load()
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -102,10 +102,10 @@
 	assert.Equal(t, retryAfterSeconds(1001*time.Millisecond), "2")
 }
 
-// TestSendingAgainToAFreshEntry: an order was sent through one entry and ran;
-// its caller got no reply and sends it again to an entry that has no bundle yet.
-// "Refused" would make it place the order anew.
-func TestSendingAgainToAFreshEntry(t *testing.T) {
+// TestResubmissionToAnEntryWithoutBundle guards against a duplicate order. The order ran
+// through one entry, its caller got no reply and resubmits it to an entry that
+// has no bundle yet. The outcome "refused" would make the caller place a new order.
+func TestResubmissionToAnEntryWithoutBundle(t *testing.T) {
 	tests := map[string]struct {
 		header string
 		want   api.Outcome
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -17,7 +17,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// newRequestID mints the ID of one sending.
+// newRequestID mints the request ID of one submission.
 func (e *Entry) newRequestID(account, pipelineName string) string {
 	now := e.cfg.Now()
 	return reqid.Mint(e.cfg.FleetKeys[0], reqid.Fields{
@@ -31,8 +31,9 @@
 	})
 }
 
-// identify finds out by what the sending can be recognised when it is sent
-// again: an ID held beforehand, the caller's key, or nothing.
+// identify sets the identity by which a resubmission can be recognised: a held
+// request ID (fetched in advance), the caller's idempotency key, or neither, in
+// which case a new ID is minted.
 func (e *Entry) identify(r *http.Request, s *submission) *rejection {
 	held := r.Header.Get(api.HeaderRequestID)
 	key := r.Header.Get(api.HeaderIdempotencyKey)
@@ -88,8 +89,8 @@
 	s.admit.MayHaveEarlier = true
 	s.admit.Identity = wire.Identity{
 		Kind: wire.IdentityKey,
-		// Neither an account's nor a pipeline's name holds a NUL, so two
-		// accounts' keys never meet.
+		// Names of accounts and pipelines contain no NUL, so keys of different
+		// accounts or pipelines cannot collide.
 		Value:    s.account.Name + "\x00" + s.pipeline.Name + "\x00" + key,
 		KeyTime:  reqid.KeyTime(key),
 		BodyHash: bodyHash(s),
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// ownerBindings names the slot that owns the identity at each unrepeatable stage.
+// ownerBindings returns, for each unrepeatable stage, a binding to the pool slot
+// that owns the identity.
 func ownerBindings(b *bundle.Bundle, p *bundle.Pipeline, identity string) map[string]wire.Binding {
 	bindings := make(map[string]wire.Binding)
 	for _, stage := range p.Stages {
@@ -109,6 +111,7 @@
 	return bindings
 }
 
+// bodyHash returns the hex SHA-256 of the pipeline's name and the input.
 func bodyHash(s *submission) string {
 	digest := sha256.New()
 	_, _ = digest.Write([]byte(s.pipeline.Name))
@@ -122,16 +125,16 @@
 	Pipeline string `json:"pipeline"`
 }
 
-// idReply is its answer.
+// idReply is the answer to idRequest.
 type idReply struct {
 	RequestID string    `json:"request_id"`
 	Pipeline  string    `json:"pipeline"`
 	ExpiresAt time.Time `json:"expires_at"`
 }
 
-// mintID issues an ID to be sent with later, perhaps several times and through
-// several entries. Each unrepeatable stage is bound to one run of one agent, so
-// that all sendings meet there or nowhere.
+// mintID issues a held request ID, which the caller submits with later, possibly
+// several times and through several entries. It binds each unrepeatable stage to
+// one run of one agent, so that all submissions reach the same run or none.
 func (e *Entry) mintID(w http.ResponseWriter, r *http.Request) {
 	g, account := e.authenticate(w, r)
 	if account == nil {
@@ -169,7 +172,8 @@
 	writeJSON(w, http.StatusCreated, idReply{RequestID: id, Pipeline: p.Name, ExpiresAt: expiry})
 }
 
-// bind chooses a live agent run for each unrepeatable stage.
+// bind chooses a live agent run for each unrepeatable stage. It returns false if
+// a stage has no usable endpoint.
 func (e *Entry) bind(g *generation, p *bundle.Pipeline) (map[string]wire.Binding, bool) {
 	now := e.cfg.Now()
 	snapshot := e.fleet.snapshot(now)
--- a/entry/log.go
+++ b/entry/log.go
@@ -19,6 +19,7 @@
 	logUnknown  = "unknown"
 )
 
+// logDecision logs a routing decision of the core.
 func (e *Entry) logDecision(d pipeline.Log) {
 	if e.cfg.RefusalsOnly && d.Endpoint != "" {
 		return
@@ -60,14 +61,14 @@
 	}
 }
 
-// problemEvents names the event of each outcome that is not an answer.
+// problemEvents maps each outcome other than an answer to its log event.
 var problemEvents = map[api.Outcome]string{
 	api.OutcomeRefused:  logRefused,
 	api.OutcomeCutShort: logCutShort,
 	api.OutcomeUnknown:  logUnknown,
 }
 
-// logProblem logs a request that ends without an answer.
+// logProblem logs a request that ended without an answer.
 func (e *Entry) logProblem(account, pipelineName string, p *api.Problem) {
 	e.cfg.Log.Warn().
 		Str("event", problemEvents[p.Outcome]).
@@ -85,7 +86,8 @@
 	answered, refused, cutShort, unknown atomic.Int64
 	// mismatched counts replies that carried another call's ID.
 	mismatched atomic.Int64
-	// rejected counts requests turned away for a caller's mistake.
+	// rejected counts requests that were rejected without being passed to the
+	// core, such as malformed or unauthorized ones.
 	rejected atomic.Int64
 }
 
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -15,13 +15,13 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// gatherTimeout bounds the wait for other processes' records; those that do
-// not answer in time are shown as missing.
+// gatherTimeout bounds the wait for the replies of other processes. Those that
+// do not answer in time are shown as missing.
 const gatherTimeout = time.Second
 
-// gather asks every process this entry is connected to for its records of a
-// request, and adds its own.
-func (e *Entry) gather(ctx context.Context, id string) []ledger.Part {
+// gatherRecords collects the records of a request from this entry and from every
+// process that it is connected to. Processes that cannot be asked are listed as missing.
+func (e *Entry) gatherRecords(ctx context.Context, id string) []ledger.Part {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	conns := append(e.members.Entries(), e.members.Agents()...)
@@ -36,7 +36,7 @@
 	}
 	wg.Wait()
 	parts[len(conns)] = ledger.Part{Process: e.cfg.Process.Name, Records: e.cfg.Records.Get(id)}
-	return append(parts, e.unreachable()...)
+	return append(parts, e.unreachableParts()...)
 }
 
 func fetchRecords(ctx context.Context, conn *peer.Conn, id string) ledger.Part {
@@ -47,57 +47,58 @@
 	return part
 }
 
-// tell merges what is known of a request into its story.
+// mergeRecords gathers the records of a request and merges them into a story.
 //
-// A held ID can be sent through several entries, and "refused" is true of one
-// sending at its time. It guards against saying so of the request: one sending
-// is refused, the next runs, then its entry and its agent die, and all that is
-// left is the refusal. Only the agent runs that the ID is bound to could have
-// executed it, so without the word of each of them the outcome is unknown.
-func (e *Entry) tell(ctx context.Context, id string, fields reqid.Fields) ([]ledger.Part, ledger.Story) {
-	parts := e.gather(ctx, id)
-	gone := e.goneExecutors(fields, parts)
-	parts = append(parts, gone...)
+// A request with a held ID can be submitted through several entries, and a
+// refusal applies to one submission only. If one submission is refused, the next
+// one runs and then its entry and agent die, only the refusal is left. Only the
+// agent runs that the ID is bound to could have executed the request, so unless
+// each of them answers, a refusal is reported as unknown.
+func (e *Entry) mergeRecords(ctx context.Context, id string, fields reqid.Fields) ([]ledger.Part, ledger.Story) {
+	parts := e.gatherRecords(ctx, id)
+	missing := e.missingExecutors(fields, parts)
+	parts = append(parts, missing...)
 	story := ledger.Merge(id, parts...)
-	if story.Outcome == api.OutcomeRefused && len(gone) > 0 {
+	if story.Outcome == api.OutcomeRefused && len(missing) > 0 {
 		story.Outcome = api.OutcomeUnknown
-		story.Verdict = "unknown: a sending was refused, but another may have run on " + gone[0].Process + ", which cannot be asked"
+		story.Verdict = "unknown: a sending was refused, but another may have run on " + missing[0].Process + ", which cannot be asked"
 	}
 	return parts, story
 }
 
-// goneExecutors lists the agent runs that a held ID is bound to and that did
-// not give their part.
-func (e *Entry) goneExecutors(fields reqid.Fields, parts []ledger.Part) []ledger.Part {
+// missingExecutors lists the agent runs that a held ID is bound to and that did
+// not return their records.
+func (e *Entry) missingExecutors(fields reqid.Fields, parts []ledger.Part) []ledger.Part {
 	if fields.Kind != wire.IdentityHeld {
 		return nil
 	}
-	asked := make(map[string]bool)
+	answeredProcesses := make(map[string]bool)
 	for _, part := range parts {
-		asked[part.Process] = part.Missing == ""
+		answeredProcesses[part.Process] = part.Missing == ""
 	}
-	there := make(map[string]bool)
+	answeredRuns := make(map[string]bool)
 	for _, conn := range e.members.Agents() {
 		p := conn.Peer().Process
-		there[p.Incarnation] = asked[p.Name]
+		answeredRuns[p.Incarnation] = answeredProcesses[p.Name]
 	}
-	var gone []ledger.Part
+	var missing []ledger.Part
 	for _, b := range fields.Bindings {
-		if !there[b.Incarnation] {
-			gone = append(gone, ledger.Part{Process: b.Agent, Missing: "its run " + b.Incarnation + ", the only one that could execute the request, is gone"})
+		if !answeredRuns[b.Incarnation] {
+			missing = append(missing, ledger.Part{Process: b.Agent, Missing: "its run " + b.Incarnation + ", the only one that could execute the request, is gone"})
 		}
 	}
-	return gone
+	return missing
 }
 
-// requestState is what a caller is told of one of its requests.
+// requestState is the reply to a caller's look-up of one of its requests.
 type requestState struct {
 	RequestID string      `json:"request_id"`
 	Outcome   api.Outcome `json:"outcome"`
-	// Detail says what the outcome rests on.
+	// Detail says what the outcome is based on.
 	Detail string `json:"detail,omitempty"`
 }
 
+// lookUp serves the outcome of a request to the account that sent it.
 func (e *Entry) lookUp(w http.ResponseWriter, r *http.Request) {
 	_, account := e.authenticate(w, r)
 	if account == nil {
@@ -105,15 +106,15 @@
 	}
 	id := chi.URLParam(r, paramID)
 	fields, err := reqid.Parse(e.cfg.FleetKeys, id)
-	// A foreign ID is answered like one that does not exist, so that nobody
-	// learns of another account's requests.
+	// The ID of another account's request gets the same answer as one that does
+	// not exist, so that callers cannot probe for other accounts' requests.
 	if err != nil || fields.Account != account.Name {
 		e.reject(w, api.ReasonNotFound, "there is no such request of this account")
 		return
 	}
 	state := requestState{RequestID: id, Outcome: api.OutcomePending}
-	if !e.waiters.pending(id) {
-		_, story := e.tell(r.Context(), id, fields)
+	if !e.waiters.inFlight(id) {
+		_, story := e.mergeRecords(r.Context(), id, fields)
 		state.Outcome = story.Outcome
 		state.Detail = story.Verdict
 	}
--- a/entry/pause.go
+++ b/entry/pause.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// hiccup is the time between two ticks from which on this process has taken a
-// visible share in how long its calls seemed to take.
-const hiccup = 3 * tickInterval
+// minPause is the time between two ticks above which a pause of this process
+// visibly distorts the measured durations of its calls.
+const minPause = 3 * tickInterval
 
-// pauseWatch knows when this process was last stopped.
+// pauseDetector records when this process last resumed after a pause.
 //
-// It guards against estimates that hold this process's own pause: after a stop
-// of a second all calls that were out seem to have taken a second, and requests
-// with less time than that would be refused as hopeless until the samples are
-// forgotten, many seconds later, while the endpoints are idle.
-type pauseWatch struct {
+// It keeps pauses of this process out of the latency estimates. After a pause of
+// a second all calls in flight seem to have taken a second, and requests with a
+// shorter deadline would be refused as infeasible until those samples expire,
+// many seconds later, although the endpoints are idle.
+type pauseDetector struct {
 	mu       sync.Mutex
 	lastTick time.Time
-	woke     time.Time
+	// resumedAt is when the end of the last pause was detected.
+	resumedAt time.Time
 }
 
-// tick notes that the process runs.
-func (p *pauseWatch) tick(now time.Time) {
+// tick records that the process is running at now.
+func (p *pauseDetector) tick(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.check(now)
+	p.detect(now)
 	p.lastTick = now
 }
 
-func (p *pauseWatch) check(now time.Time) {
-	if !p.lastTick.IsZero() && now.Sub(p.lastTick) > hiccup {
-		p.woke = now
+// detect records a pause if the last tick is more than minPause ago.
+func (p *pauseDetector) detect(now time.Time) {
+	if !p.lastTick.IsZero() && now.Sub(p.lastTick) > minPause {
+		p.resumedAt = now
 	}
 }
 
-// spanned tells whether the process was stopped after start.
-func (p *pauseWatch) spanned(start, now time.Time) bool {
+// pausedSince reports whether the process was paused between start and now.
+func (p *pauseDetector) pausedSince(start, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.check(now)
-	return start.Before(p.woke)
+	p.detect(now)
+	return start.Before(p.resumedAt)
 }
--- a/entry/policies.go
+++ b/entry/policies.go
@@ -9,8 +9,8 @@
 	"github.com/mangostage/mangostage/suspect"
 )
 
-// policies offers the current generation's plug-ins to the pipeline core,
-// which exists only once a generation does.
+// policies gives the pipeline core access to the policies of the current
+// generation. The core gets no event that needs one before the first generation.
 type policies Entry
 
 func (p *policies) router(*bundle.Policy) route.Router { return p.current.Load().router }
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -37,7 +37,7 @@
 	api.ReasonInternal:         http.StatusInternalServerError,
 }
 
-// titles are the short human-readable forms of the reasons.
+// titles maps each reason to the title of its problem document.
 var titles = map[api.Reason]string{
 	api.ReasonBadRequest:       "The request is malformed",
 	api.ReasonBodyTooLarge:     "The request body is too large",
@@ -67,8 +67,9 @@
 	return http.StatusServiceUnavailable
 }
 
-// complete fills what follows from the reason.
-func complete(p *api.Problem) {
+// fillProblem sets the fields that are derived from the reason: the type and, if
+// they are empty, the status and the title.
+func fillProblem(p *api.Problem) {
 	p.Type = api.ProblemTypePrefix + string(p.Reason)
 	if p.Status == 0 {
 		p.Status = statusOf(p.Reason)
@@ -81,12 +82,13 @@
 	}
 }
 
-// refusal is the problem of a request that was turned away before any work.
+// refusal returns the problem of a request that was refused before any stage ran.
 func refusal(requestID string, reason api.Reason, detail string) *api.Problem {
 	return &api.Problem{RequestID: requestID, Outcome: api.OutcomeRefused, Reason: reason, Detail: detail}
 }
 
-// retryAfterSeconds rounds up: a caller that comes back sooner is refused again.
+// retryAfterSeconds formats d in whole seconds for the Retry-After header, at
+// least 1. It rounds up, because a caller that retries too early is refused again.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Max(1, math.Ceil(d.Seconds()))))
 }
@@ -100,7 +102,7 @@
 }
 
 func writeProblem(w http.ResponseWriter, p *api.Problem) {
-	complete(p)
+	fillProblem(p)
 	setReplyHeaders(w.Header(), p.RequestID, p.Outcome, p.RetryAfter)
 	w.Header().Set("Content-Type", typeProblem)
 	w.WriteHeader(p.Status)
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -15,14 +15,14 @@
 	eventProblem = "problem"
 )
 
-// token is the data of one streamed piece of the last stage's output.
+// token is the data of a token event: one chunk of the last stage's output.
 type token struct {
 	Seq  int    `json:"seq"`
 	Text string `json:"text"`
 }
 
-// eventWriter sends server-sent events. The reply ends with exactly one answer
-// or problem event; a stream without one was cut.
+// eventWriter writes server-sent events to a caller. A complete stream ends with
+// exactly one answer or problem event; a stream without one was cut off.
 type eventWriter struct {
 	w  http.ResponseWriter
 	rc *http.ResponseController
@@ -49,7 +49,7 @@
 
 func (e *eventWriter) final(final api.Final) error {
 	if final.Problem != nil {
-		complete(final.Problem)
+		fillProblem(final.Problem)
 		return e.send(eventProblem, final.Problem)
 	}
 	return e.send(eventAnswer, final.Answer)
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -20,10 +20,11 @@
 	"github.com/mangostage/mangostage/suspect"
 )
 
-// affinityPrefix is how many bytes of the input stand for its prompt prefix.
+// affinityPrefix is the number of leading input bytes that are hashed for
+// prompt-prefix affinity.
 const affinityPrefix = 256
 
-// submission is one sending as it is taken apart.
+// submission is one arrival of a request from its caller, filled in while it is parsed.
 type submission struct {
 	gen      *generation
 	account  *bundle.Account
@@ -36,7 +37,8 @@
 	admit    pipeline.Admit
 }
 
-// rejection is a mistake of the caller's, found before any work.
+// rejection is the reason and detail of a request that is rejected before it is
+// passed to the core.
 type rejection struct {
 	reason api.Reason
 	detail string
@@ -45,16 +47,16 @@
 func (e *Entry) submit(w http.ResponseWriter, r *http.Request) {
 	s := &submission{received: e.cfg.Now(), gen: e.current.Load()}
 	if s.gen == nil {
-		e.rejectSending(w, r, api.ReasonNoBundle, "this process has not yet seen a bundle")
+		e.rejectSubmission(w, r, api.ReasonNoBundle, "this process has not yet seen a bundle")
 		return
 	}
 	if rejected := e.parse(w, r, s); rejected != nil {
-		e.rejectSending(w, r, rejected.reason, rejected.detail)
+		e.rejectSubmission(w, r, rejected.reason, rejected.detail)
 		return
 	}
 	ref := e.refs.Add(1)
 	s.admit.Ref = ref
-	refused, release := e.screen(s)
+	refused, release := e.checkAdmission(s)
 	waiting := e.waiters.add(ref, s.admit.RequestID, release)
 	if refused != nil {
 		e.handle(pipeline.Refuse{
@@ -66,25 +68,27 @@
 	} else {
 		e.handle(s.admit)
 	}
-	e.await(w, r, s, waiting)
+	e.relayReply(w, r, s, waiting)
 }
 
-// unasked are the reasons for which a sending is turned away, though there is
-// nothing wrong with it, before anybody was asked whether an earlier one ran.
-var unasked = map[api.Reason]bool{
+// refusedUnchecked holds the reasons for which a valid submission is refused
+// before any process was asked whether an earlier submission of the request ran.
+var refusedUnchecked = map[api.Reason]bool{
 	api.ReasonNoBundle:  true,
 	api.ReasonIDExpired: true,
 }
 
-// rejectSending answers a sending that gets no further than this process.
+// rejectSubmission answers a submission that is rejected without being passed
+// to the core.
 //
-// It guards against "refused" for an order that ran: the caller sends it again,
-// with the same key or held ID, to an entry that has just started or after the
-// ID has expired, reads that it did not run, and places it anew. This sending
-// did not run, but nobody here knows of the one before.
-func (e *Entry) rejectSending(w http.ResponseWriter, r *http.Request, reason api.Reason, detail string) {
-	recognisable := r.Header.Get(api.HeaderRequestID) != "" || r.Header.Get(api.HeaderIdempotencyKey) != ""
-	if !unasked[reason] || !recognisable {
+// The outcome is "unknown" instead of "refused" if an earlier submission of the
+// same request may have run. Otherwise a caller that resubmits an order with the
+// same key or held ID, to an entry that has just started or after the ID has
+// expired, would read that the order did not run and would place a new one.
+// This submission did not run, but this entry knows nothing of earlier ones.
+func (e *Entry) rejectSubmission(w http.ResponseWriter, r *http.Request, reason api.Reason, detail string) {
+	hasIdentity := r.Header.Get(api.HeaderRequestID) != "" || r.Header.Get(api.HeaderIdempotencyKey) != ""
+	if !refusedUnchecked[reason] || !hasIdentity {
 		e.reject(w, reason, detail)
 		return
 	}
@@ -94,9 +98,9 @@
 	writeProblem(w, p)
 }
 
-// await passes on what the core says until the final reply or until the
-// caller is gone.
-func (e *Entry) await(w http.ResponseWriter, r *http.Request, s *submission, waiting *waiter) {
+// relayReply forwards streamed chunks and the final reply to the caller. It
+// returns early, and tells the core, if the caller has gone.
+func (e *Entry) relayReply(w http.ResponseWriter, r *http.Request, s *submission, waiting *waiter) {
 	var events *eventWriter
 	for {
 		select {
@@ -105,7 +109,7 @@
 			e.handle(pipeline.CallerGone{RequestID: s.admit.RequestID, Ref: s.admit.Ref})
 			return
 		}
-		chunks, final := waiting.take()
+		chunks, final := waiting.collect()
 		for _, c := range chunks {
 			if events == nil {
 				events = newEventWriter(w, s.admit.RequestID)
@@ -126,8 +130,9 @@
 	}
 }
 
-// writeReply writes a streamed reply as events once a piece went out or the
-// answer is there; a problem before the first piece keeps its HTTP status.
+// writeReply writes the final reply: as an event if events were already sent or
+// if the caller asked for a stream and gets an answer, else as a plain HTTP
+// reply. A problem before the first event thus keeps its HTTP status.
 func (e *Entry) writeReply(w http.ResponseWriter, s *submission, events *eventWriter, final api.Final) {
 	if events == nil && s.stream && final.Answer != nil {
 		events = newEventWriter(w, s.admit.RequestID)
@@ -139,11 +144,12 @@
 	_ = events.final(final)
 }
 
+// parse authenticates and validates the request and fills in s.
 func (e *Entry) parse(w http.ResponseWriter, r *http.Request, s *submission) *rejection {
 	if s.account = s.gen.creds.account(r); s.account == nil {
 		return &rejection{api.ReasonUnauthorized, "a client account's credential is required"}
 	}
-	name := chi.URLParam(r, paramPipe)
+	name := chi.URLParam(r, paramPipeline)
 	s.pipeline = s.gen.verified.Bundle.Pipeline(name)
 	if s.pipeline == nil || !mayCall(s.account, name) {
 		return &rejection{api.ReasonUnknownPipeline, "the account has no pipeline " + strconv.Quote(name)}
@@ -167,10 +173,12 @@
 	return e.identify(r, s)
 }
 
+// readBody reads the request body, up to the lower of the entry's and the
+// pipeline's limit, and decodes it.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, s *submission) *rejection {
 	allowed := e.cfg.MaxBody
-	if most := int64(s.pipeline.MaxBody); most > 0 && most < allowed {
-		allowed = most
+	if pipelineMax := int64(s.pipeline.MaxBody); pipelineMax > 0 && pipelineMax < allowed {
+		allowed = pipelineMax
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, allowed))
 	var tooLarge *http.MaxBytesError
@@ -190,6 +198,7 @@
 	return nil
 }
 
+// parseTimeout sets the timeout to the pipeline's, or to the caller's if that is shorter.
 func parseTimeout(r *http.Request, s *submission) *rejection {
 	s.timeout = s.pipeline.Deadline.D()
 	text := r.Header.Get(api.HeaderTimeout)
@@ -204,6 +213,7 @@
 	return nil
 }
 
+// affinityHash returns the hash of the input's first affinityPrefix bytes.
 func affinityHash(s *submission) uint64 {
 	prefix := s.input.Input
 	if len(prefix) > affinityPrefix {
@@ -212,22 +222,23 @@
 	return xxhash.Sum64(prefix)
 }
 
-// screen applies drain, limits and admission, in the order of their cost. The
-// returned release gives back what the request holds of its account's limit.
-func (e *Entry) screen(s *submission) (*api.Problem, func()) {
+// checkAdmission checks drain, quarantine, limits and feasibility, the cheapest
+// first. It returns nil, or the problem to refuse the request with. The returned
+// function releases the request's share of its account's limit.
+func (e *Entry) checkAdmission(s *submission) (*api.Problem, func()) {
 	id := s.admit.RequestID
 	none := func() {}
 	if e.refusing.Load() {
 		return withRetry(refusal(id, api.ReasonDraining, ""), time.Second), none
 	}
-	// A request that waited in the socket buffer while this process was
-	// stopped looks fresh; its caller's clock has run on. It is turned away.
-	if e.members.Stalled() || !e.viewed.Load() || !e.members.Ready() {
+	// A request that waited in the socket buffer while this process was paused
+	// looks new, but its caller has been waiting all that time. It is refused.
+	if e.members.Stalled() || !e.viewApplied.Load() || !e.members.Ready() {
 		return withRetry(refusal(id, api.ReasonPaused, "this process has lost sight of the fleet"), time.Second), none
 	}
 	now := e.cfg.Now()
 	snapshot := e.fleet.snapshot(now)
-	if after := s.gen.refusedContent(s, now); after > 0 {
+	if after := s.gen.quarantineLeft(s, now); after > 0 {
 		return withRetry(refusal(id, api.ReasonSuspectRequest, ""), after), none
 	}
 	demand := limit.DemandOf(now, s.pipeline, snapshot)
@@ -247,9 +258,9 @@
 	return nil, release
 }
 
-// refusedContent tells for how long content that crashed endpoints at one of
-// the pipeline's stages is refused; zero if it is not.
-func (g *generation) refusedContent(s *submission, now time.Time) time.Duration {
+// quarantineLeft returns how much longer the content is refused because it
+// crashed endpoints at one of the pipeline's stages; zero if it is not refused.
+func (g *generation) quarantineLeft(s *submission, now time.Time) time.Duration {
 	var longest time.Duration
 	for i := range s.pipeline.Stages {
 		key := suspect.Key(s.admit.Identity.BodyHash, s.pipeline.Stages[i].Name)
--- a/entry/suspects.go
+++ b/entry/suspects.go
@@ -8,33 +8,34 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// shareAgain is how often counts are told that were told before, to entries
-// that were out of reach or lost the message.
-const shareAgain = 5 * time.Second
+// shareInterval is the time after which unchanged counts are sent again, for
+// entries that were unreachable or lost the message.
+const shareInterval = 5 * time.Second
 
-// suspectShare tells when the other entries must hear of crash counts.
-type suspectShare struct {
-	// changed is set by each crash seen by this entry.
+// crashSharing decides when to send this entry's crash counts to other entries.
+type crashSharing struct {
+	// changed is true if this entry saw a crash since the counts were last sent.
 	changed atomic.Bool
-	// sharedAt belongs to the tick loop.
+	// sharedAt is when the counts were last sent. Only the tick loop uses it.
 	sharedAt time.Time
 }
 
-// due tells whether to share now.
-func (s *suspectShare) due(now time.Time) bool {
-	if !s.changed.Swap(false) && now.Sub(s.sharedAt) < shareAgain {
+// due reports whether to send the counts now, and if so starts the next interval.
+func (s *crashSharing) due(now time.Time) bool {
+	if !s.changed.Swap(false) && now.Sub(s.sharedAt) < shareInterval {
 		return false
 	}
 	s.sharedAt = now
 	return true
 }
 
-// shareSuspects tells the other entries which content crashed endpoints, so
-// that its caller gains nothing by going to another entry. Each entry tells
-// what it saw itself, at once after a crash and now and then: telling what was
-// heard from others too would multiply one crash by the number of entries.
-// Counts only grow, so a lost message is made good by the next.
-func (e *Entry) shareSuspects(now time.Time) {
+// shareCrashCounts sends the crash counts of request contents to the other
+// entries, so that a caller cannot avoid a quarantine by using another entry.
+// Each entry sends only the counts of crashes that it observed itself, after a
+// crash and every shareInterval; forwarding received counts would multiply one
+// crash by the number of entries. Counts only grow, so the next message makes up
+// for a lost one.
+func (e *Entry) shareCrashCounts(now time.Time) {
 	g := e.current.Load()
 	if g == nil || !e.suspects.due(now) {
 		return
@@ -48,7 +49,7 @@
 	}
 }
 
-// ownCounts keeps what the entry itself saw.
+// ownCounts returns the counts of crashes that the given entry observed itself.
 func ownCounts(counts []suspect.Count, entry string) []suspect.Count {
 	var own []suspect.Count
 	for _, c := range counts {
--- a/entry/suspects_test.go
+++ b/entry/suspects_test.go
@@ -9,18 +9,19 @@
 	"github.com/mangostage/mangostage/suspect"
 )
 
-// One crash was told by every entry to every other three times a second for
-// ten minutes, what was heard included: at 360 entries 708 KB/s for each. A
-// crash is told at once, then now and then, and only by the entry that saw it.
+// Guards against excessive sharing of crash counts. Every entry sent all counts,
+// including those received, to every other entry three times a second for ten
+// minutes: 708 KB/s per entry with 360 entries. A crash must be sent promptly,
+// then every shareInterval, and only by the entry that saw it.
 func TestSuspectsAreSharedSparingly(t *testing.T) {
-	var s suspectShare
+	var s crashSharing
 	now := time.Now()
 	assert.Assert(t, s.due(now))
 	assert.Assert(t, !s.due(now.Add(tickInterval)))
 	s.changed.Store(true)
-	assert.Assert(t, s.due(now.Add(2*tickInterval)), "a crash is told at once")
+	assert.Assert(t, s.due(now.Add(2*tickInterval)), "a crash is sent at once")
 	assert.Assert(t, !s.due(now.Add(3*tickInterval)))
-	assert.Assert(t, s.due(now.Add(shareAgain+3*tickInterval)))
+	assert.Assert(t, s.due(now.Add(shareInterval+3*tickInterval)))
 
 	table := suspect.New("entry-1@a", 3)
 	other := suspect.New("entry-2@b", 3)
--- a/entry/waiters.go
+++ b/entry/waiters.go
@@ -7,12 +7,14 @@
 	"github.com/mangostage/mangostage/api"
 )
 
-// waiter is one caller waiting for its reply. The core's effects fill it and
-// never block on it.
+// waiter holds the chunks and the final reply for one waiting caller. The core's
+// effects add to it and never block on it.
 type waiter struct {
 	requestID string
-	ready     chan struct{}
-	done      func()
+	// ready receives a value when there is something to collect.
+	ready chan struct{}
+	// onReply runs once, just before the final reply is set.
+	onReply func()
 
 	mu     sync.Mutex
 	chunks []token
@@ -40,8 +42,9 @@
 	}
 }
 
-// take returns what has come since the last call.
-func (w *waiter) take() ([]token, *api.Final) {
+// collect returns the chunks added since the last call, and the final reply if
+// it is set.
+func (w *waiter) collect() ([]token, *api.Final) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	chunks := w.chunks
@@ -49,7 +52,7 @@
 	return chunks, w.final
 }
 
-// waiters holds the callers in flight by the shell's own reference number.
+// waiters holds the callers in flight by the entry's reference number.
 type waiters struct {
 	mu    sync.Mutex
 	byRef map[uint64]*waiter
@@ -60,9 +63,9 @@
 	return &waiters{byRef: make(map[uint64]*waiter)}
 }
 
-// add registers a caller; done runs once at its reply.
-func (s *waiters) add(ref uint64, requestID string, done func()) *waiter {
-	w := &waiter{requestID: requestID, ready: make(chan struct{}, 1), done: done}
+// add registers a caller; done runs once, just before its final reply is set.
+func (s *waiters) add(ref uint64, requestID string, onReply func()) *waiter {
+	w := &waiter{requestID: requestID, ready: make(chan struct{}, 1), onReply: onReply}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.byRef[ref] = w
@@ -75,7 +78,8 @@
 	return s.byRef[ref]
 }
 
-// remove takes the caller out; its reply is on the way.
+// remove removes and returns the caller whose reply is about to be written, or
+// nil if there is none.
 func (s *waiters) remove(ref uint64) *waiter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +92,8 @@
 	return w
 }
 
-// pending tells whether a sending of the request is in flight here.
-func (s *waiters) pending(requestID string) bool {
+// inFlight reports whether a submission of the request is in flight here.
+func (s *waiters) inFlight(requestID string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.byRef {
@@ -106,7 +110,7 @@
 	return len(s.byRef)
 }
 
-// waitEmpty waits until no caller is left or ctx ends.
+// waitEmpty waits until no caller is left. It returns ctx's error if ctx ends first.
 func (s *waiters) waitEmpty(ctx context.Context) error {
 	s.mu.Lock()
 	if len(s.byRef) == 0 {
