--- a/endpoint/cut_test.go
+++ b/endpoint/cut_test.go
@@ -18,7 +18,7 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-// cutPoint is where a cutter breaks the connection of a call.
+// cutPoint is the point of a call at which a cutter closes the connection.
 type cutPoint int
 
 const (
@@ -29,7 +29,7 @@
 	cutMidReply
 )
 
-// cutter is a raw server that serves one call whole and cuts later ones.
+// cutter is a raw HTTP server that closes the connection of each call at point.
 type cutter struct {
 	t        *testing.T
 	ln       net.Listener
@@ -116,10 +116,10 @@
 	"mid reply":     cutMidReply,
 }
 
-// A workshop order is sent twice although the customer bought one frame: the
-// first call leaves a kept connection, the endpoint takes the order and dies
-// before it replies, and the HTTP client sends the order again by itself on a
-// new connection. No call that runs at most once may meet a client that does.
+// Guards against an order that is sent twice: an earlier call leaves a kept
+// connection, the endpoint receives the order and dies before it replies, and the
+// HTTP client retries by itself on a new connection. Unrepeatable calls must not
+// be sent by a client that retries.
 func TestUnrepeatableCallArrivesOnce(t *testing.T) {
 	for _, protocol := range []string{"service", "engine"} {
 		for name, point := range cutPoints {
@@ -151,8 +151,8 @@
 	}
 }
 
-// The naive client of the story above: the same order by a plain http.Client
-// with the header that callers of such services set.
+// Shows the fault of the test above with a plain http.Client and the idempotency
+// header that callers of such services set: the order arrives twice.
 func TestPlainClientSendsTwice(t *testing.T) {
 	c := startCutter(t, "service")
 	plain := &http.Client{Transport: &http.Transport{}}
@@ -174,9 +174,9 @@
 	assert.Equal(t, c.arrived.Load()-arrived, int32(2))
 }
 
-// A repeatable call may use a kept connection, but what it says of its bytes
-// must hold: a call said to be unwritten is run elsewhere and doubles its cost.
-func TestRepeatableCallIsHonestAboutWriting(t *testing.T) {
+// A repeatable call may use a kept connection, but Written must be correct: a
+// call that is reported as unwritten is run elsewhere, which doubles its cost.
+func TestRepeatableCallReportsWhatWasWritten(t *testing.T) {
 	c := startCutter(t, "service")
 	p, err := endpoint.New("service", c.url())
 	assert.NilError(t, err)
@@ -206,20 +206,20 @@
 	}
 }
 
-// An order is sent after its customer was told that it was not: the agent is
-// frozen between its last check and the write, and the write goes ahead when
-// it wakes. The guard, asked at the first byte, must stop it.
+// Guards against an order that is written after its caller was told that it did
+// not run: the agent is paused between its last check and the write, and writes
+// when it resumes. The guard, which runs before the first byte, must prevent it.
 func TestGuardStopsTheFirstByte(t *testing.T) {
 	for _, unrepeatable := range []bool{true, false} {
 		c := startCutter(t, "service")
 		p, err := endpoint.New("service", c.url())
 		assert.NilError(t, err)
-		woke := errors.New("the process was stopped")
-		ctx := endpoint.WithGuard(withDeadline(t), func() error { return woke })
+		errPaused := errors.New("the process was stopped")
+		ctx := endpoint.WithGuard(withDeadline(t), func() error { return errPaused })
 		_, err = p.Run(ctx, endpoint.Call{ID: "c", Unrepeatable: unrepeatable}, nil)
 		var failed *endpoint.Error
 		assert.Assert(t, errors.As(err, &failed))
-		assert.ErrorIs(t, err, woke)
+		assert.ErrorIs(t, err, errPaused)
 		assert.Assert(t, !bool(failed.Written))
 		assert.Equal(t, c.arrived.Load(), int32(0))
 	}
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,5 +1,5 @@
-// Package endpoint speaks to endpoints. Protocols are plug-ins; an agent uses
-// one to run calls on the endpoint beside it.
+// Package endpoint implements clients of endpoints. Protocols are plug-ins; an
+// agent uses one of them to run calls on its local endpoint.
 package endpoint
 
 import (
@@ -8,38 +8,42 @@
 	"time"
 )
 
-// Call is what an endpoint is asked to do.
+// Call is one stage call to an endpoint.
 type Call struct {
-	// ID is echoed by the endpoint, so that a reply is never taken for another's.
-	ID           string
-	Stage        string
-	Model        string
+	// ID is echoed by the endpoint, so that a reply is matched to its call.
+	ID    string
+	Stage string
+	Model string
+	// Unrepeatable means that the call may run at most once.
 	Unrepeatable bool
-	Stream       bool
-	MaxTokens    int
-	Priority     int
-	Input        json.RawMessage
-	Previous     json.RawMessage
+	// Stream means that the caller wants chunks as they are generated.
+	Stream    bool
+	MaxTokens int
+	Priority  int
+	Input     json.RawMessage
+	Previous  json.RawMessage
 }
 
 // Result is a complete reply.
 type Result struct {
 	Output json.RawMessage
 	Tokens int
-	// Cost is what the endpoint says it spent, or the time the call took.
+	// Cost is the endpoint time as the endpoint reports it, or else the duration
+	// of the call.
 	Cost time.Duration
 }
 
-// Written tells how far a failed call got.
+// Written reports whether any byte of a call may have reached the endpoint.
 type Written bool
 
-// Error is a failed call. It is the agent's ground for saying that a call did not run.
+// Error is a failed call. Agents use it to decide whether a call may have run.
 type Error struct {
 	// Written is false only if no byte of the call can have reached the endpoint.
 	Written Written
-	// Refused: the endpoint itself said that it did not run the call.
+	// Refused means that the endpoint itself replied that it did not run the call.
 	Refused bool
-	// Lost: the connection broke or the reply was malformed after writing.
+	// Lost means that the call was written, but the connection broke or the reply
+	// was malformed, so that its result is unknown.
 	Lost bool
 	Err  error
 }
@@ -50,7 +54,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Health is an endpoint's own word on its state.
+// Health is an endpoint's state as it reports it itself.
 type Health struct {
 	Up       bool
 	InFlight int
@@ -64,6 +68,6 @@
 	// and returns only a complete result. Its error is always an *Error.
 	// Canceling ctx cancels the call on the endpoint.
 	Run(ctx context.Context, call Call, chunk func(seq int, text string)) (Result, error)
-	// Health asks the endpoint how it is.
+	// Health queries the endpoint's state.
 	Health(ctx context.Context) (Health, error)
 }
--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -12,7 +12,7 @@
 	"github.com/mangostage/mangostage/kernel"
 )
 
-// EngineModule is the plug-in for model engines.
+// EngineModule is the ID of the plug-in for model engines.
 const EngineModule kernel.ModuleID = protocolNamespace + ".engine"
 
 // MaxResumes bounds how often one call's cut stream is resumed.
@@ -33,12 +33,13 @@
 	return &engine{sender: s}, nil
 }
 
-// engine speaks to model engines, which stream tokens as server-sent events.
+// engine is a client of a model engine, which streams tokens as server-sent events.
 type engine struct {
 	sender *sender
 }
 
-// errCut marks a reply or stream that broke off, as when its endpoint dies.
+// errCut marks a reply or stream that ended early, for example because the
+// endpoint died.
 var errCut = errs.NewType("stream_cut")
 
 // Run implements Protocol. It calls chunk only for calls with Stream set.
@@ -55,30 +56,31 @@
 	if errors.As(err, &failed) && failed.Lost {
 		e.sender.cancel(ctx, call.ID)
 	}
-	return Result{}, explain(ctx, err)
+	return Result{}, withContextCause(ctx, err)
 }
 
 // Health implements Protocol.
 func (e *engine) Health(ctx context.Context) (Health, error) { return e.sender.health(ctx) }
 
-// generation is one call's stream, over as many connections as it takes.
+// generation is one call's token stream, which may span several connections.
 type generation struct {
 	engine *engine
 	call   Call
-	chunk  func(int, string)
-	start  time.Time
-	// next is the sequence number expected next.
+	// chunk receives each token; nil if the call does not stream.
+	chunk func(int, string)
+	start time.Time
+	// next is the sequence number of the next expected token.
 	next int
 }
 
-// run reads the stream and resumes it when it is cut. Resuming asks for the
-// rest of a generation that the engine keeps; an engine that has lost it says
-// so and does not start again. Without any token there is nothing to resume
-// from, and asking from zero would be a second call.
+// run reads the stream and resumes it if it is cut. Resuming requests the rest of
+// a generation that the engine keeps. An engine that no longer has it replies
+// with a failure and does not start a new one. A stream cut before its first
+// token is not resumed, because a request from token zero would be a second call.
 func (g *generation) run(ctx context.Context) (Result, error) {
 	for resumes := 0; ; resumes++ {
 		result, err := g.attempt(ctx)
-		if err == nil || !errorIsCut(err) {
+		if err == nil || !isCut(err) {
 			return result, err
 		}
 		mayResume := !g.call.Unrepeatable && g.next > 0 && resumes < MaxResumes
@@ -88,11 +90,13 @@
 	}
 }
 
-func errorIsCut(err error) bool {
+// isCut reports whether err is that of a stream that ended early.
+func isCut(err error) bool {
 	var failed *Error
 	return errors.As(err, &failed) && failed.Lost && errorx.IsOfType(failed.Err, errCut)
 }
 
+// attempt sends the call once, or the request to resume it, and reads the stream.
 func (g *generation) attempt(ctx context.Context) (Result, error) {
 	resuming := g.next > 0
 	resp, err := g.engine.sender.call(ctx, PathGenerate, g.call.ID, g.call.Unrepeatable, g.request())
@@ -108,7 +112,8 @@
 	}
 	failed := failure(resp, g.call.ID)
 	if resuming {
-		// The first sending ran: a refusal to resume does not undo that.
+		// The call ran before the stream was cut, so a refusal to resume does not
+		// mean that it did not run.
 		return Result{}, lost(failed)
 	}
 	return Result{}, failed
@@ -127,9 +132,9 @@
 	}
 }
 
-// read takes events until the stream is done. A stream is complete only with
-// its closing event and every token before it; anything else, also one that
-// ends in good order, would pass half an answer off as whole.
+// read reads events until the stream ends. A stream is complete only if all
+// tokens and the closing event arrived. Without the closing event it is an error
+// even if the connection closed cleanly, since half an answer would pass as whole.
 func (g *generation) read(resp *http.Response) (Result, error) {
 	events := newEventReader(resp.Body)
 	for {
--- a/endpoint/message.go
+++ b/endpoint/message.go
@@ -38,10 +38,10 @@
 	Cost int64 `json:"cost_ns"`
 }
 
-// FailureReply is the body of every reply that is no success, and of EventError.
+// FailureReply is the body of every unsuccessful reply, and the data of EventError.
 type FailureReply struct {
 	Call string `json:"call"`
-	// Refused, with status 503, says that the call did not run.
+	// Refused, together with status 503, means that the call did not run.
 	Refused bool   `json:"refused,omitempty"`
 	Error   string `json:"error"`
 }
@@ -56,8 +56,8 @@
 	MaxTokens int             `json:"max_tokens,omitempty"`
 	// Priority orders calls in the engine's queue; higher first.
 	Priority int `json:"priority,omitempty"`
-	// ResumeFrom is the next token wanted of a generation that the engine
-	// still keeps; zero starts a new one.
+	// ResumeFrom is the sequence number of the first token to send of a generation
+	// that the engine still keeps; zero starts a new generation.
 	ResumeFrom int `json:"resume_from,omitempty"`
 }
 
@@ -82,7 +82,7 @@
 	Call string `json:"call"`
 }
 
-// HealthReply is the body of PathHealth. Its load figures may lag.
+// HealthReply is the body of a reply to PathHealth. Its load figures may be out of date.
 type HealthReply struct {
 	Up       bool     `json:"up"`
 	InFlight int      `json:"in_flight"`
@@ -90,13 +90,13 @@
 	Models   []string `json:"models,omitempty"`
 }
 
-// StaleFenceReply is the body of status 409 to PathOrders.
+// StaleFenceReply is the body of a reply to PathOrders with status 409.
 type StaleFenceReply struct {
 	Error   string `json:"error"`
 	Highest uint64 `json:"highest"`
 }
 
-// CacheEventsReply is the body of PathCacheEvents.
+// CacheEventsReply is the body of a reply to PathCacheEvents.
 type CacheEventsReply struct {
 	Events []CacheEvent `json:"events"`
 }
--- a/endpoint/orders.go
+++ b/endpoint/orders.go
@@ -16,21 +16,23 @@
 	OrderRole   OrderKind = "role"
 )
 
-// Order asks an engine to change what it holds or does.
+// Order asks an engine to load or unload a model or to change its role.
 type Order struct {
-	// Fence grows from giver to giver; engines that check it refuse a number
-	// below the highest they have seen.
+	// Fence is the fencing number of the controller that gives the order. A later
+	// controller has a higher one; engines that check it refuse a number lower
+	// than the highest they have seen.
 	Fence uint64    `json:"fence"`
 	Kind  OrderKind `json:"kind"`
 	// Model is set for OrderLoad and OrderUnload.
 	Model string `json:"model,omitempty"`
 	// Role is set for OrderRole.
-	Role  string `json:"role,omitempty"`
+	Role string `json:"role,omitempty"`
+	// Giver names the controller that gives the order.
 	Giver string `json:"giver"`
 }
 
-// Orderer gives orders. An accepted OrderLoad has only begun: the model shows
-// in Health when it is loaded. Engine clients implement Orderer.
+// Orderer sends orders to an engine. An accepted OrderLoad only starts loading;
+// the model is listed in Health once it is loaded. Engine clients implement Orderer.
 type Orderer interface {
 	// Order sends the order once. Its error is a *StaleFenceError if the
 	// engine refused the fencing number, else an *Error.
@@ -39,11 +41,11 @@
 
 // StaleFenceError is an engine's refusal of an old fencing number.
 type StaleFenceError struct {
-	// Highest is the number that the engine has seen.
+	// Highest is the highest fencing number that the engine has seen.
 	Highest uint64
 }
 
-// Error names the number.
+// Error describes the refusal with the highest number seen.
 func (e *StaleFenceError) Error() string {
 	return fmt.Sprintf("stale fencing number: the engine has seen %d", e.Highest)
 }
@@ -62,7 +64,7 @@
 		return failure(resp, "")
 	}
 	var reply StaleFenceReply
-	if err := decode(resp.Body, maxFailure, &reply); err != nil {
+	if err := decode(resp.Body, maxFailureReply, &reply); err != nil {
 		return lost(err)
 	}
 	return &StaleFenceError{Highest: reply.Highest}
@@ -79,18 +81,18 @@
 
 // CacheEvent is one change of an engine's prefix cache.
 type CacheEvent struct {
-	// Seq grows by one with each change; a jump means that events were lost.
+	// Seq increases by one with each change; a gap means that events were lost.
 	Seq  uint64         `json:"seq"`
 	Kind CacheEventKind `json:"kind"`
-	// Prefix is a value of PrefixHashes.
+	// Prefix is one of the hashes that PrefixHashes returns for a prompt.
 	Prefix uint64 `json:"prefix"`
 }
 
-// CacheEventSource tells of changes in a prefix cache, late and with gaps.
-// Engine clients implement it.
+// CacheEventSource reports changes of a prefix cache, with delay and possibly
+// with gaps. Engine clients implement it.
 type CacheEventSource interface {
-	// CacheEvents returns the events after the given sequence number that
-	// the engine still holds.
+	// CacheEvents returns those events after the given sequence number that the
+	// engine still keeps.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
 
--- a/endpoint/protocol.go
+++ b/endpoint/protocol.go
@@ -4,7 +4,8 @@
 
 const protocolNamespace = "endpoint.protocol"
 
-// Opener is what a protocol plug-in provides: clients of single endpoints.
+// Opener is implemented by protocol plug-ins. Open returns a client of the
+// endpoint at baseURL.
 type Opener interface {
 	Open(baseURL string) (Protocol, error)
 }
--- a/endpoint/protocol_test.go
+++ b/endpoint/protocol_test.go
@@ -64,10 +64,10 @@
 	assert.Equal(t, out.Tokens, second.Tokens)
 }
 
-// A caller is shown half an answer, or another caller's, as its own: the
-// endpoint's reply was cut, repeated, reordered or crossed with another on its
-// way. Every such reply must end as lost.
-func TestSpoiledRepliesAreLost(t *testing.T) {
+// Guards against a caller that gets half an answer or that of another call,
+// because the endpoint's reply was truncated, duplicated, reordered or mixed up
+// with another one. Every such call must fail as lost.
+func TestDamagedRepliesAreLost(t *testing.T) {
 	cases := []struct {
 		protocol     string
 		fault        fake.ReplyFault
@@ -100,7 +100,7 @@
 	}
 }
 
-// A reply sent twice on a kept connection must not become the next call's.
+// A reply sent twice on a kept connection must not be used for the next call.
 func TestDuplicateReplyStaysWithItsCall(t *testing.T) {
 	f, p := startService(t, fake.ServiceSettings{})
 	f.Apply(fake.Control{Reply: ptr(fake.ReplyDuplicate), ReplyCount: ptr(1)})
@@ -116,9 +116,8 @@
 	}
 }
 
-// A control room waits for a summary whose stream breaks half way: the
-// connection to the engine is cut while it generates. The rest is fetched from
-// the engine, which runs the call once.
+// The connection to the engine is cut while it generates. The rest of the stream
+// must be fetched from the engine, which runs the call only once.
 func TestCutStreamIsResumed(t *testing.T) {
 	e, p := startEngine(t, fake.EngineSettings{})
 	e.Apply(fake.Control{Reply: ptr(fake.ReplyTruncate), ReplyCount: ptr(1)})
@@ -133,7 +132,8 @@
 	assert.Equal(t, counts.Resumed, 1)
 }
 
-// An engine that crashed has nothing to resume and must not start again.
+// A crashed engine has lost the generation: it cannot be resumed and must not be
+// started again.
 func TestCrashedEngineIsNotResumed(t *testing.T) {
 	e, p := startEngine(t, fake.EngineSettings{})
 	e.Apply(fake.Control{CrashOn: ptr(`"m1"`)})
--- a/endpoint/reply.go
+++ b/endpoint/reply.go
@@ -15,8 +15,8 @@
 	MaxReply = 2 << 20
 	// MaxStream bounds a whole stream.
 	MaxStream = 16 << 20
-
-	maxFailure = 16 << 10
+	// maxFailureReply bounds the body of an unsuccessful reply.
+	maxFailureReply = 16 << 10
 )
 
 // decode reads one JSON document of at most limit bytes and nothing after it.
@@ -34,14 +34,14 @@
 	return nil
 }
 
-// failure turns a reply that is no success into an *Error.
+// failure converts an unsuccessful reply to an *Error.
 //
-// Only a refusal that names this very call counts as proof that it did not
-// run: on a reused connection, a late second reply to the call before could be
-// read as the reply to this one.
+// A refusal proves that the call did not run only if it names this call: on a
+// reused connection, a late second reply to the previous call could be read as
+// the reply to this one.
 func failure(resp *http.Response, id string) *Error {
 	var reply FailureReply
-	err := decode(resp.Body, maxFailure, &reply)
+	err := decode(resp.Body, maxFailureReply, &reply)
 	if err != nil && resp.StatusCode < http.StatusBadRequest {
 		return &Error{Written: true, Lost: true, Err: ErrMalformed.New("status %d", resp.StatusCode)}
 	}
@@ -55,12 +55,13 @@
 	return &Error{Written: true, Err: ErrFailed.New("status %d: %s", resp.StatusCode, reply.Error)}
 }
 
-// lost describes a call that was written and whose result is not known.
+// lost returns the error of a call that was written and whose result is unknown.
 func lost(err error) *Error { return &Error{Written: true, Lost: true, Err: err} }
 
-// explain makes the end of ctx the cause of a failure that it brought about,
-// for errors.Is, which does not see through the errors of errorx.
-func explain(ctx context.Context, err error) error {
+// withContextCause adds ctx's error to the cause of a failure that the end of
+// ctx may have brought about, so that errors.Is finds it; errors.Is does not see
+// through errorx errors.
+func withContextCause(ctx context.Context, err error) error {
 	var failed *Error
 	if ctx.Err() == nil || !errors.As(err, &failed) || errors.Is(err, ctx.Err()) {
 		return err
--- a/endpoint/sender.go
+++ b/endpoint/sender.go
@@ -12,15 +12,16 @@
 	"time"
 )
 
+// cancelTimeout bounds the background request that cancels a call.
 const cancelTimeout = 2 * time.Second
 
-// sender carries HTTP requests to one endpoint. It follows no redirect and
-// uses no proxy from the environment: both would show a call to somebody else.
+// sender sends HTTP requests to one endpoint. It follows no redirects and uses no
+// proxy from the environment, since both would disclose calls to other hosts.
 type sender struct {
 	base *url.URL
-	// calls keeps connections for repeatable calls.
+	// calls is the client, with kept connections, for repeatable calls.
 	calls *http.Client
-	// control keeps connections for everything that runs no call.
+	// control is the client, with kept connections, for requests that run no call.
 	control *http.Client
 }
 
@@ -43,35 +44,36 @@
 
 func (s *sender) url(path string) string { return s.base.JoinPath(path).String() }
 
-// call posts one call. Its error is an *Error that says whether a byte of the
-// call can have been written. The caller closes the reply's body.
+// call posts one call. If once is true, it is sent at most once, on its own
+// connection. The error is an *Error that says whether any byte of the call may
+// have been written. The caller closes the response body.
 func (s *sender) call(ctx context.Context, path, id string, once bool, message any) (*http.Response, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return nil, &Error{Err: ErrMalformed.Wrap(err, "encode call")}
 	}
-	a := newAttempt(ctx)
+	gate := newWriteGate(ctx)
 	var resp *http.Response
 	if once {
-		resp, err = s.sendOnce(ctx, a, path, id, body)
+		resp, err = s.sendOnce(ctx, gate, path, id, body)
 	} else {
-		resp, err = s.sendPooled(ctx, a, path, id, body)
+		resp, err = s.sendPooled(ctx, gate, path, id, body)
 	}
 	if err != nil {
-		written := a.seal()
-		return nil, &Error{Written: written, Lost: bool(written), Err: a.reason(err)}
+		written := gate.seal()
+		return nil, &Error{Written: written, Lost: bool(written), Err: gate.causeOr(err)}
 	}
 	return resp, nil
 }
 
-// sendPooled may reuse a connection. The transport sends again by itself only
-// on a reused connection to which it has written nothing, because the request
-// is a POST without an idempotency header.
-func (s *sender) sendPooled(ctx context.Context, a *attempt, path, id string, body []byte) (*http.Response, error) {
+// sendPooled sends a call and may reuse a kept connection. Since the request is a
+// POST without an idempotency header, the transport retries it by itself only if
+// nothing was written to a reused connection.
+func (s *sender) sendPooled(ctx context.Context, gate *writeGate, path, id string, body []byte) (*http.Response, error) {
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if c, ok := info.Conn.(*gatedConn); ok {
-				c.hold(a)
+				c.assign(gate)
 			}
 		},
 	})
@@ -83,20 +85,19 @@
 	return s.calls.Do(req)
 }
 
-// sendOnce sends on a connection of its own.
+// sendOnce sends a call on its own connection.
 //
-// It guards against the transport sending a call a second time by itself,
-// which shows as two runs of one call at the endpoint: net/http does so when a
-// kept connection proves dead and the request has an idempotency header or a
-// body that it can rewind. Here the connection is dialed beforehand and the
-// transport can get only this one, keeps none, and cannot rewind the body; a
-// second sending has neither a connection nor a body.
-func (s *sender) sendOnce(ctx context.Context, a *attempt, path, id string, body []byte) (*http.Response, error) {
+// net/http retries a request by itself if a kept connection turns out to be dead
+// and the request has an idempotency header or a body that can be rewound. An
+// unrepeatable call could then run twice at the endpoint. To prevent this, the
+// connection is dialed beforehand, the transport can get no other one and keeps
+// none, and the body cannot be rewound: a retry has neither connection nor body.
+func (s *sender) sendOnce(ctx context.Context, gate *writeGate, path, id string, body []byte) (*http.Response, error) {
 	raw, err := dial(ctx, "tcp", s.base.Host)
 	if err != nil {
 		return nil, ErrUnavailable.Wrap(err, "dial endpoint")
 	}
-	conn := newGatedConn(raw, a)
+	conn := newGatedConn(raw, gate)
 	t := transport(dialedOnce(conn))
 	t.DisableKeepAlives = true
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url(path), io.NopCloser(bytes.NewReader(body)))
@@ -121,8 +122,8 @@
 	}
 }
 
-// cancel asks the endpoint to drop a call, without waiting: the call's own
-// context has usually ended, and the endpoint may be the one that hangs.
+// cancel asks the endpoint in the background to cancel a call. It does not wait,
+// because the call's context has usually ended and the endpoint may hang.
 func (s *sender) cancel(ctx context.Context, id string) {
 	detached, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	go func() {
@@ -131,7 +132,7 @@
 	}()
 }
 
-// notify posts a message whose reply does not matter.
+// notify posts a message and ignores the content of the reply.
 func (s *sender) notify(ctx context.Context, path string, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return resp.Body.Close()
 }
 
-// get reads one JSON document.
+// get fetches one JSON document of at most MaxReply bytes.
 func (s *sender) get(ctx context.Context, path, query string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url(path)+query, nil)
 	if err != nil {
@@ -166,7 +167,7 @@
 	return decode(resp.Body, MaxReply, into)
 }
 
-// health is common to all HTTP protocols.
+// health queries the endpoint's state, in the same way for all HTTP protocols.
 func (s *sender) health(ctx context.Context) (Health, error) {
 	var reply HealthReply
 	if err := s.get(ctx, PathHealth, "", &reply); err != nil {
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -8,7 +8,7 @@
 	"github.com/mangostage/mangostage/kernel"
 )
 
-// ServiceModule is the plug-in for plain HTTP services.
+// ServiceModule is the ID of the plug-in for plain HTTP services.
 const ServiceModule kernel.ModuleID = protocolNamespace + ".service"
 
 func init() {
@@ -26,8 +26,8 @@
 	return &service{sender: s}, nil
 }
 
-// service speaks to plain services, encoders, retrievers and rerankers: one
-// request, one JSON reply.
+// service is a client of a plain service, such as an encoder, retriever or
+// reranker, which answers each request with one JSON reply.
 type service struct {
 	sender *sender
 }
@@ -41,7 +41,7 @@
 	if ctx.Err() != nil {
 		s.sender.cancel(ctx, call.ID)
 	}
-	return Result{}, explain(ctx, err)
+	return Result{}, withContextCause(ctx, err)
 }
 
 func (s *service) run(ctx context.Context, call Call) (Result, error) {
@@ -68,7 +68,8 @@
 // Health implements Protocol.
 func (s *service) Health(ctx context.Context) (Health, error) { return s.sender.health(ctx) }
 
-// cost is what the endpoint reported in nanoseconds, or the time since start.
+// cost returns the cost that the endpoint reported in nanoseconds, or the time
+// since start if it reported none.
 func cost(reported int64, start time.Time) time.Duration {
 	if reported > 0 {
 		return time.Duration(reported)
--- a/endpoint/sse.go
+++ b/endpoint/sse.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-const readBuffer = 4 << 10
+const readBufferSize = 4 << 10
 
 // event is one server-sent event.
 type event struct {
@@ -18,16 +18,16 @@
 // eventReader reads server-sent events of bounded size.
 type eventReader struct {
 	r *bufio.Reader
-	// left is the number of bytes that the stream may still bring.
-	left int
+	// remaining is the number of bytes left of MaxStream.
+	remaining int
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{r: bufio.NewReaderSize(r, readBuffer), left: MaxStream}
+	return &eventReader{r: bufio.NewReaderSize(r, readBufferSize), remaining: MaxStream}
 }
 
-// next returns the next event. An event that ends without its blank line was
-// cut and is an error.
+// next returns the next event. An event without its terminating blank line was
+// cut off and is an error.
 func (r *eventReader) next() (event, error) {
 	var ev event
 	for {
@@ -67,9 +67,9 @@
 	var line []byte
 	for {
 		part, err := r.r.ReadSlice('\n')
-		r.left -= len(part)
+		r.remaining -= len(part)
 		line = append(line, part...)
-		if r.left < 0 || len(line) > MaxReply {
+		if r.remaining < 0 || len(line) > MaxReply {
 			return nil, ErrMalformed.New("stream is too long")
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
--- a/endpoint/transport.go
+++ b/endpoint/transport.go
@@ -8,13 +8,15 @@
 	"time"
 )
 
+// Limits of the connections to an endpoint; maxReplyHeader is in bytes.
 const (
 	maxReplyHeader = 64 << 10
 	dialTimeout    = 2 * time.Second
-	maxIdle        = 64
+	maxIdleConns   = 64
 	idleTimeout    = 30 * time.Second
 )
 
+// client returns an HTTP client that follows no redirects.
 func client(t *http.Transport) *http.Client {
 	return &http.Client{
 		Transport: t,
@@ -39,6 +41,7 @@
 	return newGatedConn(conn, nil), nil
 }
 
+// transport returns an HTTP/1 transport without proxy and compression.
 func transport(d dialFunc) *http.Transport {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -46,17 +49,18 @@
 		DialContext:            d,
 		Protocols:              &protocols,
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    maxIdle,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxReplyHeader,
 	}
 }
 
-// dialedOnce returns conn the first time and an error ever after.
+// dialedOnce returns a dial function that returns conn on its first use and an
+// error on every later one.
 func dialedOnce(conn net.Conn) dialFunc {
-	var taken atomic.Bool
+	var used atomic.Bool
 	return func(context.Context, string, string) (net.Conn, error) {
-		if taken.Swap(true) {
+		if used.Swap(true) {
 			return nil, errSealed.New("a call that runs at most once is not sent again")
 		}
 		return conn, nil
--- a/endpoint/attempt_test.go
+++ b/endpoint/write_gate_test.go
@@ -19,69 +19,70 @@
 	"github.com/mangostage/mangostage/internal/testwait"
 )
 
-// A call is reported as never written and its bytes leave a moment later: the
-// caller gives up while the transport's own goroutine is about to write. In
-// every interleaving, one of the two must see the other.
+// Guards against a call that is reported as never written and written a moment
+// later, because the caller gives up while the transport's goroutine is about to
+// write. In every interleaving, either the write fails or seal reports it.
 func TestSealExcludesALaterWrite(t *testing.T) {
 	for range 2000 {
-		a := newAttempt(context.Background())
+		gate := newWriteGate(context.Background())
 		var wg sync.WaitGroup
-		var begun error
+		var firstErr error
 		var written Written
-		wg.Go(func() { _, begun = a.begin() })
-		wg.Go(func() { written = a.seal() })
+		wg.Go(func() { _, firstErr = gate.beginWrite() })
+		wg.Go(func() { written = gate.seal() })
 		wg.Wait()
-		assert.Equal(t, bool(written), begun == nil)
-		_, again := a.begin()
-		assert.Equal(t, again == nil, begun == nil)
+		assert.Equal(t, bool(written), firstErr == nil)
+		_, secondErr := gate.beginWrite()
+		assert.Equal(t, secondErr == nil, firstErr == nil)
 	}
 }
 
-// A process stopped until after the deadline writes the call when it wakes,
-// because its timers have not run yet. The clock itself must be asked.
+// Guards against a process that is paused until after the deadline and writes
+// the call when it resumes, because its timers have not fired yet. The gate must
+// check the clock itself.
 func TestPassedDeadlineForbidsTheFirstWriteOnly(t *testing.T) {
-	late := &attempt{deadline: time.Now()}
-	_, err := late.begin()
+	expired := &writeGate{deadline: time.Now()}
+	_, err := expired.beginWrite()
 	assert.Assert(t, errorx.IsOfType(err, ErrTooLate))
-	assert.Assert(t, !bool(late.seal()))
-	begun := &attempt{wrote: true, deadline: time.Now()}
-	_, err = begun.begin()
+	assert.Assert(t, !bool(expired.seal()))
+	started := &writeGate{wrote: true, deadline: time.Now()}
+	_, err = started.beginWrite()
 	assert.NilError(t, err)
-	assert.Assert(t, bool(begun.seal()))
+	assert.Assert(t, bool(started.seal()))
 }
 
-// brokenConn takes so many bytes of a write and fails.
+// brokenConn accepts the given number of bytes of a write and then fails.
 type brokenConn struct {
 	net.Conn
-	takes int
+	accepts int
 }
 
-func (c brokenConn) Write([]byte) (int, error) { return c.takes, syscall.EPIPE }
+func (c brokenConn) Write([]byte) (int, error) { return c.accepts, syscall.EPIPE }
 
 // TestFirstWriteOfNothingIsNone guards against a call that counts as written
 // because its first write failed: its caller would be told that it may have run.
 func TestFirstWriteOfNothingIsNone(t *testing.T) {
-	for takes, written := range map[int]bool{0: false, 1: true} {
-		a := newAttempt(context.Background())
-		_, err := newGatedConn(brokenConn{takes: takes}, a).Write([]byte("call"))
+	for accepted, written := range map[int]bool{0: false, 1: true} {
+		gate := newWriteGate(context.Background())
+		_, err := newGatedConn(brokenConn{accepts: accepted}, gate).Write([]byte("call"))
 		assert.ErrorIs(t, err, syscall.EPIPE)
-		assert.Equal(t, bool(a.seal()), written)
+		assert.Equal(t, bool(gate.seal()), written)
 	}
 }
 
-// TestLaterWriteOfNothingTakesNothingBack guards against a call of which bytes
-// have left that is said not to have run.
-func TestLaterWriteOfNothingTakesNothingBack(t *testing.T) {
-	a := newAttempt(context.Background())
-	_, err := a.begin()
+// TestFailedLaterWriteDoesNotUndoTheFirst guards against a call that is reported
+// as not run although an earlier write sent bytes of it.
+func TestFailedLaterWriteDoesNotUndoTheFirst(t *testing.T) {
+	gate := newWriteGate(context.Background())
+	_, err := gate.beginWrite()
 	assert.NilError(t, err)
-	_, err = newGatedConn(brokenConn{}, a).Write([]byte("rest"))
+	_, err = newGatedConn(brokenConn{}, gate).Write([]byte("rest"))
 	assert.ErrorIs(t, err, syscall.EPIPE)
-	assert.Assert(t, bool(a.seal()))
+	assert.Assert(t, bool(gate.seal()))
 }
 
 // TestNothingIsWrittenToAnEndedConnection guards against a call that is written
-// to a kept connection whose end has arrived and was not read yet.
+// to a kept connection whose close has arrived but has not been read yet.
 func TestNothingIsWrittenToAnEndedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -89,18 +90,18 @@
 	conn, err := dialGated(t.Context(), "tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
-	far, err := listener.Accept()
+	remote, err := listener.Accept()
 	assert.NilError(t, err)
-	assert.NilError(t, far.Close())
-	a := newAttempt(context.Background())
-	conn.(*gatedConn).hold(a)
+	assert.NilError(t, remote.Close())
+	gate := newWriteGate(context.Background())
+	conn.(*gatedConn).assign(gate)
 	testwait.For(t, time.Second, func() bool { return socket.ClosedByPeer(conn.(*gatedConn).raw) })
 	_, err = conn.Write([]byte("call"))
 	assert.Assert(t, errorx.IsOfType(err, errEnded), "%v", err)
-	assert.Assert(t, !bool(a.seal()))
+	assert.Assert(t, !bool(gate.seal()))
 }
 
-func TestConnectionHeldByNoCallTakesNoBytes(t *testing.T) {
+func TestUnassignedConnectionRejectsWrites(t *testing.T) {
 	_, err := (&gatedConn{}).Write([]byte("x"))
 	assert.Assert(t, err != nil)
 }
@@ -135,7 +136,7 @@
 	assert.Assert(t, !errors.Is(err, io.EOF))
 }
 
-// repeat yields its text for ever.
+// repeat is a reader that returns its text in every read, without end.
 type repeat struct{ text string }
 
 func (r *repeat) Read(p []byte) (int, error) { return copy(p, r.text), nil }
