--- a/api/api.go
+++ b/api/api.go
@@ -1,4 +1,4 @@
-// Package api holds what a caller sees: the outcome of a request, the answer
+// Package api defines the caller-facing API: the outcome of a request, the answer
 // and problem documents, and the names of HTTP headers and problem types.
 package api
 
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// Outcome says what became of a request. Every reply carries exactly one.
+// Outcome is the final or current state of a request. Every reply carries exactly one.
 type Outcome string
 
 const (
 	// OutcomeAnswered means the reply holds the complete answer.
 	OutcomeAnswered Outcome = "answered"
-	// OutcomeRefused means that the request ran at no stage; this is proved, not guessed.
+	// OutcomeRefused means that no stage of the request ran. It is used only if
+	// this has been proved.
 	OutcomeRefused Outcome = "refused"
-	// OutcomeCutShort means that at least one stage ran and no complete answer came of it.
+	// OutcomeCutShort means that at least one stage ran but there is no complete answer.
 	OutcomeCutShort Outcome = "cut_short"
 	// OutcomeUnknown means that some stage may or may not have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomePending is shown only by look-ups, while the request is still running.
+	// OutcomePending is returned only by look-ups, while the request is still running.
 	OutcomePending Outcome = "pending"
 )
 
@@ -27,7 +28,7 @@
 // forms the last element of a problem's type URI.
 type Reason string
 
-// The reasons a caller can meet.
+// The reasons that a reply can carry.
 const (
 	ReasonBadRequest       Reason = "bad_request"
 	ReasonBodyTooLarge     Reason = "body_too_large"
@@ -70,7 +71,7 @@
 // ProblemTypePrefix starts the type URI of every problem document.
 const ProblemTypePrefix = "urn:mangostage:problem:"
 
-// StageRun is one attempt of one stage as told to the caller.
+// StageRun is one attempt of one stage as reported to the caller.
 type StageRun struct {
 	Stage    string        `json:"stage"`
 	Endpoint string        `json:"endpoint,omitempty"`
@@ -79,17 +80,17 @@
 	Took     time.Duration `json:"took_ns"`
 }
 
-// StageState says what is known first-hand about one attempt of a stage.
+// StageState is the state of one attempt of a stage, as far as it is known for certain.
 type StageState string
 
 const (
 	// StageDone means the endpoint returned its complete result.
 	StageDone StageState = "done"
-	// StageNotRun means the endpoint was never asked.
+	// StageNotRun means that the endpoint did not run the attempt.
 	StageNotRun StageState = "not_run"
-	// StageFailed means that the endpoint ran and did not complete.
+	// StageFailed means that the endpoint ran the attempt and did not complete it.
 	StageFailed StageState = "failed"
-	// StageMayHaveRun means that nobody can tell.
+	// StageMayHaveRun means that it is unknown whether the endpoint ran the attempt.
 	StageMayHaveRun StageState = "may_have_run"
 )
 
@@ -106,13 +107,14 @@
 	Pipeline  string          `json:"pipeline"`
 	Output    json.RawMessage `json:"output"`
 	Stages    []StageRun      `json:"stages"`
-	// Replayed tells that the result of an unrepeatable stage is that of an earlier sending.
+	// Replayed is true if the result of an unrepeatable stage comes from an earlier
+	// submission.
 	Replayed bool `json:"replayed,omitempty"`
-	// BundleVersion is the version in force when the request was accepted.
+	// BundleVersion is the version of the bundle under which the request was accepted.
 	BundleVersion uint64 `json:"bundle_version"`
 }
 
-// Problem is an RFC 9457 problem document with the product's extensions.
+// Problem is an RFC 9457 problem document with Mangostage's extensions.
 type Problem struct {
 	Type      string     `json:"type"`
 	Title     string     `json:"title"`
@@ -122,17 +124,18 @@
 	Outcome   Outcome    `json:"outcome"`
 	Reason    Reason     `json:"reason"`
 	Stages    []StageRun `json:"stages,omitempty"`
-	// RetryAfter is when coming back makes sense; zero means that it does not.
+	// RetryAfter is how long the caller should wait before it retries; zero means
+	// that no retry is suggested.
 	RetryAfter time.Duration `json:"retry_after_ns,omitempty"`
 }
 
-// Final is what the product says of a request: exactly one of Answer and Problem is set.
+// Final is the final reply to a request. Exactly one of Answer and Problem is set.
 type Final struct {
 	Answer  *Answer
 	Problem *Problem
 }
 
-// Outcome returns the typed outcome of f.
+// Outcome returns the outcome of the answer or problem.
 func (f Final) Outcome() Outcome {
 	if f.Answer != nil {
 		return f.Answer.Outcome
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what a deployment publishes: its configuration and
-// its list of endpoints. Values are immutable once they are part of a View.
+// Package catalog defines the configuration and the endpoint list that a
+// deployment publishes. Values are immutable once they are part of a View.
 package catalog
 
 import (
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// RouteKind tells what may be sent to an endpoint more than once.
+// RouteKind says whether a route's requests may run more than once and how they
+// are answered.
 type RouteKind string
 
 // The route kinds.
@@ -16,7 +17,7 @@
 	RouteIdempotent RouteKind = "idempotent"
 	// RouteOnce requests may run at most once.
 	RouteOnce RouteKind = "once"
-	// RouteStream requests are answered by a series of events. They run at
+	// RouteStream requests are answered by a stream of events. They may run at
 	// most once unless the route is resumable.
 	RouteStream RouteKind = "stream"
 )
@@ -30,8 +31,8 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// ServiceNames lists the services that the configuration describes or sends
-// requests and stages to; a name may stand there twice.
+// ServiceNames returns the names of all services that the configuration describes
+// or that its routes send requests and stages to. A name may occur more than once.
 func (c *Config) ServiceNames() []string {
 	var names []string
 	for i := range c.Services {
@@ -48,86 +49,92 @@
 	return names
 }
 
-// Route says what becomes of the requests under one host and path prefix.
+// Route configures how requests under one host and path prefix are served.
 type Route struct {
 	Name   string    `json:"name"`
 	Host   string    `json:"host"`
 	Prefix string    `json:"prefix"`
 	Kind   RouteKind `json:"kind"`
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may wait for its answer.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the latency within which an answer has its full worth.
+	// Objective is the latency objective: an answer within it has its full value.
 	Objective time.Duration `json:"objective"`
-	// EventGap is the longest pause between events of an answer in time.
+	// EventGap is the longest pause between two events of a stream that still
+	// counts as in time.
 	EventGap time.Duration `json:"event_gap,omitempty"`
 	// Priority ranks the route; 0 is the most urgent.
 	Priority int `json:"priority"`
-	// Split lists the services of the route with their weights; never empty.
+	// Split lists the services that serve the route, with their weights; never empty.
 	Split []Share `json:"split"`
-	// MaxAttempts bounds the endpoints to which one request may be sent.
-	MaxAttempts int     `json:"max_attempts"`
-	Stages      []Stage `json:"stages,omitempty"`
-	// Public routes take requests without a key.
+	// MaxAttempts is the largest number of endpoints that one request may be sent to.
+	MaxAttempts int `json:"max_attempts"`
+	// Stages run before a request is sent to its service.
+	Stages []Stage `json:"stages,omitempty"`
+	// Public means that requests need no key.
 	Public bool `json:"public,omitempty"`
-	// Model routes carry requests for model engines.
+	// Model means that the route's requests are for model engines.
 	Model bool `json:"model,omitempty"`
-	// Resumable streams may go on at another endpoint.
+	// Resumable means that a stream that was cut off may continue at another endpoint.
 	Resumable bool `json:"resumable,omitempty"`
 }
 
-// Repeatable tells whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have run may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == RouteIdempotent || r.Kind == RouteStream && r.Resumable
 }
 
-// Share is one service of a route and its relative weight.
+// Share is a service of a route and its relative weight in the traffic split.
 type Share struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Stage is work that is done before a request runs at its service.
+// Stage is one step of processing that runs before a request is sent to its service.
 type Stage struct {
 	Service string `json:"service"`
-	// After lists the stages, by index, whose results this one reads.
+	// After lists the indexes of the stages whose results this one reads.
 	After []int `json:"after,omitempty"`
-	// ResultBytes is about the size of one result.
+	// ResultBytes is the approximate size of one result in bytes.
 	ResultBytes int64 `json:"result_bytes"`
 }
 
-// Service is a group of equal endpoints.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name string `json:"name"`
-	// Model is set for model engines, Batch for services that run stages.
+	// Model is set for model engines.
 	Model *Model `json:"model,omitempty"`
+	// Batch is set for services that run stages.
 	Batch *Batch `json:"batch,omitempty"`
-	// ColdStart is how long an endpoint that has started is cold, ColdRate how
-	// many requests a second it bears until then; 0 if there is no such bound.
+	// ColdStart is how long an endpoint is cold after its start.
 	ColdStart time.Duration `json:"cold_start,omitempty"`
-	ColdRate  float64       `json:"cold_rate,omitempty"`
+	// ColdRate is how many requests per second a cold endpoint can handle; 0 if
+	// there is no such limit.
+	ColdRate float64 `json:"cold_rate,omitempty"`
 }
 
 // Model describes one model engine of a service.
 type Model struct {
-	// Slots is how many requests are decoded at once.
+	// Slots is the number of requests that are decoded concurrently.
 	Slots int `json:"slots"`
-	// CacheTokens is the memory for running requests and cached prefixes.
+	// CacheTokens is the memory, in tokens, for running requests and cached prefixes.
 	CacheTokens int `json:"cache_tokens"`
 }
 
 // Batch describes one endpoint of a service that runs stages.
 type Batch struct {
-	// Slots is how many calls run at once, Queue how many more may wait.
+	// Slots is the number of calls that run concurrently.
 	Slots int `json:"slots"`
+	// Queue is the number of calls that may wait in addition.
 	Queue int `json:"queue"`
-	// Items is how many pieces fit into a call.
+	// Items is the largest number of items in a call.
 	Items int `json:"items"`
-	// CallTime and ItemTime are about what a call takes by itself and for each piece.
+	// CallTime is the approximate fixed time of a call.
 	CallTime time.Duration `json:"call_time"`
+	// ItemTime is the approximate additional time for each item of a call.
 	ItemTime time.Duration `json:"item_time"`
 	// Room is the memory for results in bytes.
 	Room int64 `json:"room"`
-	// ResultTTL is how long a result is kept that nobody frees.
+	// ResultTTL is how long a result is kept if it is not freed earlier.
 	ResultTTL time.Duration `json:"result_ttl"`
 }
 
@@ -135,28 +142,29 @@
 type Account struct {
 	Name string   `json:"name"`
 	Keys []string `json:"keys"`
-	// Priority, when set, takes the place of the route's.
+	// Priority, if set, overrides the route's priority.
 	Priority *int `json:"priority,omitempty"`
 }
 
-// Limits bound what a client may send.
+// Limits are the limits on what a client may send.
 type Limits struct {
+	// BodyBytes is the largest request body in bytes.
 	BodyBytes int64 `json:"body_bytes"`
 }
 
-// Incarnation is when an endpoint's process started, as the Unix millisecond
-// that the endpoint states. It tells starts under one ID apart: a higher one is
-// newer. 0 means that the endpoint did not say.
+// Incarnation is the start time of an endpoint's process in Unix milliseconds, as
+// reported by the endpoint. It distinguishes successive processes with the same
+// ID: a higher one is newer. 0 means that the endpoint did not report it.
 type Incarnation int64
 
-// Time is the start of the process.
+// Time returns the start time of the process.
 func (i Incarnation) Time() time.Time { return time.UnixMilli(int64(i)) }
 
 // Endpoint is one process that serves a service.
 type Endpoint struct {
 	ID string `json:"id"`
-	// Incarnation is the start of the process: with another one nothing that
-	// was believed of the endpoint holds any more.
+	// Incarnation identifies the process. When it changes, everything that was
+	// known about the endpoint's state is obsolete.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
 
 	Service string `json:"service"`
@@ -164,32 +172,35 @@
 	Addr string `json:"addr"`
 	// Domain is the failure domain.
 	Domain string `json:"domain"`
-	Slots  int    `json:"slots"`
-	// Leaving endpoints will end; they take no new work.
+	// Slots is the number of requests that the endpoint serves concurrently.
+	Slots int `json:"slots"`
+	// Leaving means that the endpoint is about to stop; it takes no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Evacuated endpoints take no new work while the operator keeps their failure
-	// domain empty. What runs there ends, and results there can be fetched.
+	// Evacuated means that an operator has evacuated the endpoint's failure domain:
+	// the endpoint takes no new work. Running work is completed, and results there
+	// can still be fetched.
 	Evacuated bool `json:"evacuated,omitempty"`
 
-	// ColdLeft is how much longer the endpoint is cold, when it last wrote its
-	// entry: it is slow and bears few requests.
+	// ColdLeft is how much longer the endpoint was going to be cold when it last
+	// wrote its entry. A cold endpoint is slow and can handle few requests.
 	ColdLeft time.Duration `json:"cold_left,omitempty"`
-	// ColdUntil is when it is warm, by this process's clock; the zero time if it
-	// is known to be. ColdRate is how many requests a second, from all members
-	// together, it bears until then; 0 if its service names none.
+	// ColdUntil is when the endpoint becomes warm, by this process's clock; the
+	// zero time if it is known to be warm.
 	ColdUntil time.Time `json:"cold_until,omitzero"`
-	ColdRate  float64   `json:"cold_rate,omitempty"`
+	// ColdRate is how many requests per second, from all members together, the
+	// endpoint can handle until then; 0 if its service sets no limit.
+	ColdRate float64 `json:"cold_rate,omitempty"`
 }
 
-// Cold tells whether the endpoint bears few requests yet.
+// Cold reports whether the endpoint is still cold.
 func (e *Endpoint) Cold(now time.Time) bool { return now.Before(e.ColdUntil) }
 
-// TakesWork tells whether new work may be sent to the endpoint.
+// TakesWork reports whether new work may be sent to the endpoint.
 func (e *Endpoint) TakesWork() bool { return !e.Leaving && !e.Evacuated }
 
-// Key names one process of an endpoint among all that served under any ID: the
-// ID alone if the endpoint does not state its start. It is for what is believed
-// of an endpoint; endpoints themselves know their ID only.
+// Key identifies one process of an endpoint, by ID and incarnation; it is the ID
+// alone if the endpoint does not report its start. It is the key for state that
+// other processes keep about the endpoint; endpoints know only their own ID.
 func (e *Endpoint) Key() string {
 	if e.Incarnation == 0 {
 		return e.ID
--- a/catalog/index.go
+++ b/catalog/index.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Index answers questions about one Config; it is never changed.
+// Index provides lookups in one Config. It is immutable.
 type Index struct {
 	Config   *Config
 	routes   map[string][]*Route
@@ -13,7 +13,7 @@
 	services map[string]*Service
 }
 
-// NewIndex returns the index of c, which must not change any more.
+// NewIndex returns an index of c, which must not be modified afterwards.
 func NewIndex(c *Config) *Index {
 	x := &Index{
 		Config:   c,
@@ -42,7 +42,8 @@
 	return x
 }
 
-// Route returns the route of host with the longest prefix of path, or nil.
+// Route returns the route of host whose prefix is the longest that matches path,
+// or nil.
 func (x *Index) Route(host, path string) *Route {
 	for _, r := range x.routes[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -52,7 +53,8 @@
 	return nil
 }
 
-// HasAccounts tells whether requests need a key at all.
+// HasAccounts reports whether any account is configured. Without accounts,
+// requests need no key.
 func (x *Index) HasAccounts() bool { return len(x.Config.Accounts) > 0 }
 
 // Account returns the account that holds key, or nil.
--- a/catalog/view.go
+++ b/catalog/view.go
@@ -6,18 +6,18 @@
 	"sort"
 )
 
-// View is what a process knows of the deployment at one moment.
+// View is an immutable snapshot of what a process knows of the deployment.
 type View struct {
 	// Index is nil until a configuration is known.
 	Index *Index
-	// Revision grows with every change of the view in this process.
+	// Revision increases with every change of the view in this process.
 	Revision  uint64
 	byService map[string][]*Endpoint
 	byKey     map[string]*Endpoint
 	byID      map[string]*Endpoint
 }
 
-// NewView returns a view of the endpoints, which must not change any more.
+// NewView returns a view of the endpoints, which must not be modified afterwards.
 func NewView(index *Index, endpoints []*Endpoint, revision uint64) *View {
 	v := &View{
 		Index:     index,
@@ -36,28 +36,30 @@
 	return v
 }
 
-// Ready tells whether requests can be served by this view.
+// Ready reports whether requests can be served with this view: there is a
+// configuration and at least one endpoint.
 func (v *View) Ready() bool { return v.Index != nil && len(v.byID) > 0 }
 
-// Endpoints lists the endpoints of a service by ID, also those that leave.
+// Endpoints returns the endpoints of a service sorted by ID, including leaving ones.
 func (v *View) Endpoints(service string) []*Endpoint { return v.byService[service] }
 
-// Endpoint returns the endpoint with that Key, or nil if it is gone: an endpoint
-// that has started again under its ID is another one.
+// Endpoint returns the endpoint with that Key, or nil if it is not listed. An
+// endpoint that restarted under the same ID has another Key.
 func (v *View) Endpoint(key string) *Endpoint { return v.byKey[key] }
 
-// Present returns the process that serves under an ID, or nil if none is listed.
+// Present returns the listed endpoint process with that ID, or nil.
 func (v *View) Present(id string) *Endpoint { return v.byID[id] }
 
-// Replaced tells whether another process has taken the place of one: all that it
-// held is lost. A process that is only gone from the list may still run.
+// Replaced reports whether another process is listed under the ID, so that
+// everything the given process held is lost. It is false for a process that is
+// merely no longer listed, since that may still be running.
 func (v *View) Replaced(id string, incarnation Incarnation) bool {
 	e := v.Present(id)
 	return e != nil && e.Incarnation != incarnation
 }
 
-// All yields the endpoints in no order.
+// All yields the endpoints in no particular order.
 func (v *View) All() iter.Seq[*Endpoint] { return maps.Values(v.byKey) }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints.
 func (v *View) Len() int { return len(v.byID) }
