--- a/entry/waiters.go
+++ b/entry/waiters.go
@@ -63,7 +63,7 @@
 	return &waiters{byRef: make(map[uint64]*waiter)}
 }
 
-// add registers a caller; done runs once, just before its final reply is set.
+// add registers a caller; onReply runs once, just before its final reply is set.
 func (s *waiters) add(ref uint64, requestID string, onReply func()) *waiter {
 	w := &waiter{requestID: requestID, ready: make(chan struct{}, 1), onReply: onReply}
 	s.mu.Lock()
