--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,7 +1,8 @@
-// Package agent is the process beside one endpoint and the only way to it. It
-// decides which calls run, in which order and until when, suppresses
-// duplicates, and tells first-hand what became of each call. The decisions are
-// in Core, which does no I/O; Agent carries them out.
+// Package agent implements the process that runs next to one endpoint and is
+// its only client. It admits, queues and cancels calls, suppresses duplicates,
+// and reports the outcome of each call from its own records.
+//
+// All decisions are made in Core, which does no I/O; Agent executes them.
 package agent
 
 import (
@@ -24,54 +25,56 @@
 	healthInterval = time.Second
 	downInterval   = 200 * time.Millisecond
 	healthTimeout  = time.Second
-	// drainPoll is how often Drain looks whether the last call has ended.
+	// drainPoll is how often Drain checks whether the last call has ended.
 	drainPoll = 10 * time.Millisecond
-	// drainLinger is how long Drain waits once nothing runs. The last reply is
-	// handed to the connection after its call has ended here, and whoever closes
-	// the connections next would cut it off.
+	// drainLinger is how long the agent must stay idle before Drain returns.
+	// The last reply is handed to the connection after its call has ended here,
+	// so closing the connections at once would lose that reply.
 	drainLinger = 200 * time.Millisecond
 )
 
-// Config is what an Agent is made of.
+// Config configures an Agent.
 type Config struct {
 	Process wire.Process
-	// Endpoint and Pool name what the agent stands beside.
+	// Endpoint and Pool are the names of the agent's endpoint and of its pool.
 	Endpoint string
 	Pool     string
-	// VM is the agent's own line in the platform's list.
+	// VM is the name of the agent's VM in the platform's VM list.
 	VM       string
 	Protocol endpoint.Protocol
 	Log      zerolog.Logger
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Records receives what the agent knows of requests; nil keeps none.
+	// Records receives the agent's ledger records of requests; nil disables
+	// them.
 	Records *ledger.Store
-	// DropConnections closes all connections to peers; it is called when the
-	// process finds that it was stopped. Nil for none.
+	// DropConnections closes all connections to peers. It is called when the
+	// agent detects that its process had been paused; nil means no call.
 	DropConnections func()
-	// Announce tells the entries of the agent's report; it is called when the
-	// endpoint goes down, comes back or stops taking work, and must not block. Nil
-	// for none.
+	// Announce sends the agent's report to the entries. It is called when the
+	// endpoint goes down, comes back, or starts or stops draining, and must not
+	// block; nil means no call.
 	Announce func()
-	// OnNewerBundle is called when a call was made under a newer bundle than the
-	// agent holds; it must not block. Nil for none.
+	// OnNewerBundle is called when a call carries a newer bundle version than
+	// the agent's; it must not block. Nil means no call.
 	OnNewerBundle func(version uint64)
-	// RefusalsOnly leaves decisions to run a call, and their success, out of the log.
+	// RefusalsOnly omits decisions to run a call, and successful results, from
+	// the log.
 	RefusalsOnly bool
-	// Bounds sets the bounds of the core; its other fields are ignored.
+	// Bounds sets the memory bounds of the core; its other fields are ignored.
 	Bounds CoreConfig
 }
 
 // Agent runs calls on one endpoint.
 type Agent struct {
-	cfg     Config
-	log     zerolog.Logger
-	core    *Core
-	started time.Time
-	head    atomic.Pointer[wire.BundleHead]
-	tokens  atomic.Uint64
-	waiting sync.Map // Token to *arrivalState
-	cancels sync.Map // *Run to context.CancelFunc
+	cfg      Config
+	log      zerolog.Logger
+	core     *Core
+	started  time.Time
+	head     atomic.Pointer[wire.BundleHead]
+	tokens   atomic.Uint64
+	arrivals sync.Map // Token to *arrivalState
+	cancels  sync.Map // *Run to context.CancelFunc
 
 	decisions decisionCounts
 
@@ -80,7 +83,8 @@
 	wg      sync.WaitGroup
 }
 
-// New returns an agent that refuses calls until ApplyBundle and Start.
+// New returns an agent that refuses calls until ApplyBundle and Start are
+// called.
 func New(cfg Config) *Agent {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -98,36 +102,37 @@
 	return a
 }
 
-// Start begins ticks and health checks.
+// Start begins periodic ticks and health checks.
 func (a *Agent) Start() {
-	a.do(a.core.Tick(a.cfg.Now()))
+	a.execute(a.core.Tick(a.cfg.Now()))
 	a.wg.Add(2)
-	go a.tick()
-	go a.checkHealth()
+	go a.tickLoop()
+	go a.checkHealthLoop()
 }
 
-// Stop cancels what still runs and waits for it. Drain comes first when no
-// call may be cut.
+// Stop cancels running calls and waits for them to end. Call Drain first to let
+// them complete.
 func (a *Agent) Stop() {
 	a.core.Drain()
 	a.stop()
 	a.wg.Wait()
 }
 
-// ApplyBundle puts a verified bundle in force.
+// ApplyBundle applies a verified bundle.
 func (a *Agent) ApplyBundle(v *bundle.Verified) {
-	a.do(a.core.Configure(a.cfg.Now(), v.Bundle))
+	a.execute(a.core.Configure(a.cfg.Now(), v.Bundle))
 	head := v.Head
 	a.head.Store(&head)
 }
 
-// SetLeaving notes whether the platform lists the agent's VM as leaving.
+// SetLeaving records whether the platform's VM list shows the agent's VM as
+// leaving.
 func (a *Agent) SetLeaving(leaving bool) {
 	a.log.Info().Str("event", logVMState).Str("vm", a.cfg.VM).Bool("leaving", leaving).Msg("vm state")
 	a.core.SetLeaving(a.cfg.Now(), leaving)
 }
 
-// Drain refuses new calls and returns when all that were accepted have been
+// Drain refuses new calls and returns once all accepted calls have been
 // answered, or with ctx's error.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.log.Info().Str("event", logDraining).Msg("draining")
@@ -147,13 +152,13 @@
 	return nil
 }
 
-// idle tells whether nothing runs and no reply is outstanding.
+// idle reports whether no call runs or waits and no reply is outstanding.
 func (a *Agent) idle() bool {
 	if !a.core.Idle() {
 		return false
 	}
 	idle := true
-	a.waiting.Range(func(any, any) bool {
+	a.arrivals.Range(func(any, any) bool {
 		idle = false
 		return false
 	})
@@ -163,7 +168,7 @@
 // Report returns the load and state of the endpoint.
 func (a *Agent) Report() wire.AgentReport { return a.core.Report() }
 
-// Status returns the process as it sees itself.
+// Status returns the status of this process.
 func (a *Agent) Status() wire.Status {
 	report := a.core.Report()
 	status := wire.Status{
@@ -179,7 +184,7 @@
 	return status
 }
 
-func (a *Agent) tick() {
+func (a *Agent) tickLoop() {
 	defer a.wg.Done()
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -189,19 +194,21 @@
 		case <-a.stopped.Done():
 			return
 		case <-ticker.C:
-			a.do(a.core.Tick(a.cfg.Now()))
+			a.execute(a.core.Tick(a.cfg.Now()))
 			a.announceChange(&announced)
 		}
 	}
 }
 
-// availability is what of a report decides whether an endpoint gets work.
+// availability is the part of a report that decides whether an endpoint
+// receives calls.
 type availability struct{ draining, down bool }
 
-// announceChange announces a change of availability. Without it an entry that
-// sends nothing here would learn only by the next exchange of hellos, seconds
-// later, that a crashed endpoint is back. When a request has crashed several
-// endpoints that shows as callers who are refused though there is room for them.
+// announceChange calls Announce if the availability differs from last.
+// Otherwise an entry that sends no calls here would learn only from the next
+// exchange of hello messages, seconds later, that a crashed endpoint is back.
+// After a request has crashed several endpoints, clients would be refused
+// meanwhile although there is capacity for them.
 func (a *Agent) announceChange(last *availability) {
 	report := a.core.Report()
 	now := availability{draining: report.Draining, down: report.Down}
@@ -214,10 +221,10 @@
 	}
 }
 
-func (a *Agent) checkHealth() {
+func (a *Agent) checkHealthLoop() {
 	defer a.wg.Done()
 	for {
-		a.probe()
+		a.checkHealthOnce()
 		wait := healthInterval
 		if a.core.Report().Down {
 			wait = downInterval
@@ -230,12 +237,12 @@
 	}
 }
 
-func (a *Agent) probe() {
+func (a *Agent) checkHealthOnce() {
 	ctx, cancel := context.WithTimeout(a.stopped, healthTimeout)
 	defer cancel()
 	h, err := a.cfg.Protocol.Health(ctx)
 	if a.stopped.Err() != nil {
 		return
 	}
-	a.do(a.core.Health(a.cfg.Now(), h, err))
+	a.execute(a.core.Health(a.cfg.Now(), h, err))
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -22,16 +22,16 @@
 
 const testWait = 10 * time.Second
 
-// stubProtocol runs a call until the test lets it end.
+// stubProtocol runs each call until the test releases it.
 type stubProtocol struct {
-	began   chan endpoint.Call
+	started chan endpoint.Call
 	release chan struct{}
 	ended   chan error
 	chunks  int
 }
 
 func (p *stubProtocol) Run(ctx context.Context, call endpoint.Call, chunk func(int, string)) (endpoint.Result, error) {
-	p.began <- call
+	p.started <- call
 	for i := range p.chunks {
 		chunk(i, fmt.Sprint("piece ", i))
 	}
@@ -66,8 +66,8 @@
 	return bytes.Contains(b.buf.Bytes(), []byte(s))
 }
 
-// rig is an agent behind a real connection.
-type rig struct {
+// fixture is an agent that is reached over a real connection.
+type fixture struct {
 	t        *testing.T
 	agent    *Agent
 	protocol *stubProtocol
@@ -76,9 +76,9 @@
 	records  *ledger.Store
 }
 
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, records: ledger.NewStore(ledger.DefaultStoreConfig)}
-	r.protocol = &stubProtocol{began: make(chan endpoint.Call, 8), release: make(chan struct{}, 8), ended: make(chan error, 8)}
+func newFixture(t *testing.T) *fixture {
+	r := &fixture{t: t, records: ledger.NewStore(ledger.DefaultStoreConfig)}
+	r.protocol = &stubProtocol{started: make(chan endpoint.Call, 8), release: make(chan struct{}, 8), ended: make(chan error, 8)}
 	process := wire.Process{Name: "ep-1", Incarnation: "i1", Role: wire.RoleAgent}
 	r.agent = New(Config{Process: process, Endpoint: "ep-1", Pool: "orders", Protocol: r.protocol, Log: zerolog.New(&r.log), Records: r.records})
 	r.agent.ApplyBundle(&bundle.Verified{Bundle: testBundle(1), Head: wire.BundleHead{Version: 1}})
@@ -96,8 +96,9 @@
 	return r
 }
 
-// dial connects as an entry and returns the chunks that it was sent.
-func (r *rig) dial(name string) (*peer.Conn, *[]wire.StageChunk) {
+// dial connects as an entry and returns the connection and the chunks received
+// on it.
+func (r *fixture) dial(name string) (*peer.Conn, *[]wire.StageChunk) {
 	var chunks []wire.StageChunk
 	mux := peer.NewMux()
 	peer.HandleNote(mux, wire.MethodStageChunk, func(_ *peer.Conn, c wire.StageChunk) { chunks = append(chunks, c) })
@@ -109,7 +110,7 @@
 	return conn, &chunks
 }
 
-func (r *rig) call(stage string, attempt int) wire.StageCall {
+func (r *fixture) call(stage string, attempt int) wire.StageCall {
 	return wire.StageCall{
 		ID:           wire.CallID{Request: "order-1", Stage: stage, Entry: "e", Attempt: attempt},
 		Identity:     wire.Identity{Kind: wire.IdentityHeld, Value: "order-1", KeyTime: time.Now(), BodyHash: "body"},
@@ -123,17 +124,17 @@
 	}
 }
 
-type outcome struct {
+type sendResult struct {
 	result wire.StageResult
 	err    error
 }
 
-func (r *rig) send(conn *peer.Conn, call wire.StageCall) <-chan outcome {
-	done := make(chan outcome, 1)
+func (r *fixture) send(conn *peer.Conn, call wire.StageCall) <-chan sendResult {
+	done := make(chan sendResult, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testWait)
 		defer cancel()
-		var o outcome
+		var o sendResult
 		o.err = conn.Call(ctx, wire.MethodStageRun, call, &o.result)
 		done <- o
 	}()
@@ -146,20 +147,20 @@
 	case v := <-from:
 		return v
 	case <-time.After(testWait):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value")
 		panic("unreachable")
 	}
 }
 
-// A reader sees an answer whose last words are missing: the final reply has
-// overtaken pieces of the stream that were still being written. The payload
-// must also appear in no log.
-func TestStreamComesBeforeItsReply(t *testing.T) {
-	r := newRig(t)
+// The final reply must not overtake chunks of the stream that are still being
+// written; otherwise the reader sees an answer without its end. The payload
+// must not appear in the log.
+func TestChunksPrecedeTheReply(t *testing.T) {
+	r := newFixture(t)
 	r.protocol.chunks = 200
 	conn, chunks := r.dial("e")
 	done := r.send(conn, r.call("quote", 1))
-	receive(t, r.protocol.began)
+	receive(t, r.protocol.started)
 	r.protocol.release <- struct{}{}
 	got := receive(t, done)
 	assert.NilError(t, got.err)
@@ -174,14 +175,15 @@
 	assert.Equal(t, r.records.Get("order-1")[0].Kind, ledger.KindReceived)
 }
 
-// An entry dies while an order is on the endpoint. The optician sends it again
-// through another entry, whose call must find the one result of the one run.
-func TestOrderOutlivesItsConnection(t *testing.T) {
-	r := newRig(t)
+// An entry dies while an unrepeatable call is on the endpoint. The client
+// resends it through another entry, whose call must get the result of the
+// single run.
+func TestUnrepeatableCallSurvivesDisconnect(t *testing.T) {
+	r := newFixture(t)
 	first, _ := r.dial("e1")
 	second, _ := r.dial("e2")
 	lost := r.send(first, r.call("place", 1))
-	receive(t, r.protocol.began)
+	receive(t, r.protocol.started)
 	first.Close()
 	assert.Assert(t, receive(t, lost).err != nil)
 	again := r.send(second, r.call("place", 2))
@@ -191,26 +193,27 @@
 	assert.Equal(t, got.result.Status, wire.StatusDone)
 	assert.Assert(t, got.result.Replayed)
 	assert.Equal(t, string(got.result.Output), `"of order-1/place/e/1"`)
-	assert.Equal(t, len(r.protocol.began), 0)
+	assert.Equal(t, len(r.protocol.started), 0)
 }
 
-// Whoever waited for a repeatable call has gone; it must not go on costing.
+// A repeatable call that nobody waits for any more must be cancelled, so that
+// it causes no further cost.
 func TestRepeatableCallIsCancelled(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	conn, _ := r.dial("e")
 	r.send(conn, r.call("quote", 1))
-	receive(t, r.protocol.began)
+	receive(t, r.protocol.started)
 	conn.Close()
 	assert.ErrorIs(t, receive(t, r.protocol.ended), context.Canceled)
 }
 
 func TestRevokeOverAnotherConnection(t *testing.T) {
-	r := newRig(t)
+	r := newFixture(t)
 	first, _ := r.dial("e1")
 	second, _ := r.dial("e2")
 	call := r.call("quote", 1)
 	done := r.send(first, call)
-	receive(t, r.protocol.began)
+	receive(t, r.protocol.started)
 	var ack wire.RevokeResult
 	err := second.Call(context.Background(), wire.MethodStageRevoke, wire.Revoke{ID: call.ID, Until: call.Deadline, Incarnation: "i1"}, &ack)
 	assert.NilError(t, err)
@@ -219,13 +222,13 @@
 	assert.Equal(t, receive(t, done).result.Reason, api.ReasonRevoked)
 }
 
-// A VM is to be replaced while a call is on its endpoint. The stop must wait
-// for the answer and take nothing new meanwhile.
-func TestDrainCutsNothing(t *testing.T) {
-	r := newRig(t)
+// A VM is replaced while a call is on its endpoint. Drain must wait for the
+// answer and refuse new calls meanwhile.
+func TestDrainWaitsForRunningCalls(t *testing.T) {
+	r := newFixture(t)
 	conn, _ := r.dial("e")
 	done := r.send(conn, r.call("quote", 1))
-	receive(t, r.protocol.began)
+	receive(t, r.protocol.started)
 	r.agent.core.Drain()
 	drained := make(chan error, 1)
 	go func() {
--- a/agent/announce_test.go
+++ b/agent/announce_test.go
@@ -15,25 +15,26 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// switchedProtocol is an endpoint that can be down.
-type switchedProtocol struct{ down atomic.Bool }
+// toggledProtocol is an endpoint that the test can take down.
+type toggledProtocol struct{ down atomic.Bool }
 
-func (p *switchedProtocol) Run(context.Context, endpoint.Call, func(int, string)) (endpoint.Result, error) {
+func (p *toggledProtocol) Run(context.Context, endpoint.Call, func(int, string)) (endpoint.Result, error) {
 	return endpoint.Result{}, &endpoint.Error{Err: errors.New("not used")}
 }
 
-func (p *switchedProtocol) Health(context.Context) (endpoint.Health, error) {
+func (p *toggledProtocol) Health(context.Context) (endpoint.Health, error) {
 	if p.down.Load() {
 		return endpoint.Health{}, errors.New("down")
 	}
 	return endpoint.Health{Up: true}, nil
 }
 
-// An endpoint crashes and comes back, and later its VM leaves. Entries that send
-// it nothing meanwhile must hear of each change; otherwise they refuse callers
-// though it is back, or learn of its leaving by a refused call.
+// An endpoint crashes and comes back, and later its VM leaves. Each change must
+// be announced to entries that send it nothing meanwhile; otherwise they refuse
+// clients although the endpoint is back, or learn from a refused call that it
+// is leaving.
 func TestChangesOfAvailabilityAreAnnounced(t *testing.T) {
-	p := &switchedProtocol{}
+	p := &toggledProtocol{}
 	announced := make(chan struct{}, 16)
 	a := New(Config{
 		Process: wire.Process{Name: "ep-1", Incarnation: "i1", Role: wire.RoleAgent}, Endpoint: "ep-1", Pool: "orders",
@@ -42,13 +43,13 @@
 	a.ApplyBundle(&bundle.Verified{Bundle: testBundle(1), Head: wire.BundleHead{Version: 1}})
 	a.Start()
 	defer a.Stop()
-	await := func(what string, holds func(wire.AgentReport) bool) {
+	await := func(what string, condition func(wire.AgentReport) bool) {
 		t.Helper()
 		limit := time.After(testWait)
 		for {
 			select {
 			case <-announced:
-				if holds(a.Report()) {
+				if condition(a.Report()) {
 					return
 				}
 			case <-limit:
@@ -62,5 +63,5 @@
 	await("back", func(r wire.AgentReport) bool { return !r.Down })
 	a.SetLeaving(true)
 	await("leaving", func(r wire.AgentReport) bool { return r.Draining })
-	assert.Equal(t, len(announced), 0, "announced without a change")
+	assert.Equal(t, len(announced), 0, "announced without a change of availability")
 }
--- a/agent/core_arrive.go
+++ b/agent/core_arrive.go
@@ -9,18 +9,19 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// arrival is one call on its way through the checks.
+// arrival is one received call during admission.
 type arrival struct {
 	now   time.Time
 	token Token
 	call  *wire.StageCall
-	set   *settings
-	view  pauseView
+	conf  *settings
+	pause pauseStatus
 	shard *identityShard
 	fx    *effects
 }
 
-// refusal is why a call does not run.
+// refusal says why a call does not run. Its status is wire.StatusRefused or
+// wire.StatusUnknown.
 type refusal struct {
 	status     wire.StageStatus
 	reason     api.Reason
@@ -28,29 +29,33 @@
 	retryAfter time.Duration
 }
 
+// refused returns a refusal with wire.StatusRefused: nothing of this call was
+// or will be written to the endpoint.
 func refused(reason api.Reason, detail string) *refusal {
 	return &refusal{status: wire.StatusRefused, reason: reason, detail: detail}
 }
 
+// unknown returns a refusal with wire.StatusUnknown: an earlier submission may
+// have run.
 func unknown(reason api.Reason, detail string) *refusal {
 	return &refusal{status: wire.StatusUnknown, reason: reason, detail: detail}
 }
 
-// Arrive takes a call that was read at now. The order of the checks matters:
-// whether the identity ran, or may have run, is asked before anything that
-// would refuse the call, for a refusal also says that no earlier sending ran.
+// Arrive processes a call that was read at now. The checks for an earlier run
+// of the identity come before all others, because a refusal also states that no
+// earlier submission ran.
 func (c *Core) Arrive(now time.Time, token Token, call wire.StageCall) []Effect {
 	var fx effects
-	a := &arrival{now: now, token: token, call: &call, set: c.settings.Load(), fx: &fx}
-	a.view = c.observe(now, &fx)
-	if call.BundleVersion > a.set.version {
+	a := &arrival{now: now, token: token, call: &call, conf: c.settings.Load(), fx: &fx}
+	a.pause = c.observe(now, &fx)
+	if call.BundleVersion > a.conf.version {
 		fx.add(NewerBundle{Version: call.BundleVersion})
 	}
-	if reject := malformed(now, &call); reject != nil {
-		c.turnAway(a, reject)
+	if reject := validateCall(now, &call); reject != nil {
+		c.rejectCall(a, reject)
 		return fx.list
 	}
-	fx.add(Keep{c.fact(now, &call, ledger.KindReceived)})
+	fx.add(AddRecord{c.ledgerRecord(now, &call, ledger.KindReceived)})
 	a.shard = c.identities.shard(keyOf(&call))
 	a.shard.mu.Lock()
 	displaced := c.admit(a)
@@ -61,6 +66,8 @@
 	return fx.list
 }
 
+// keyOf returns the call's key in the identity table. Without an identity the
+// request ID is used.
 func keyOf(call *wire.StageCall) identityKey {
 	value := call.Identity.Value
 	if value == "" {
@@ -69,11 +76,12 @@
 	return identityKey{identity: value, stage: call.ID.Stage}
 }
 
-func malformed(now time.Time, call *wire.StageCall) *refusal {
+// validateCall refuses calls with missing or invalid fields.
+func validateCall(now time.Time, call *wire.StageCall) *refusal {
 	switch {
 	case call.ID.Request == "" || call.ID.Stage == "" || call.ID.Entry == "":
 		return refused(api.ReasonBadRequest, "incomplete call ID")
-	case call.Deadline.IsZero() || call.Deadline.Sub(now) > maxCallLife:
+	case call.Deadline.IsZero() || call.Deadline.Sub(now) > maxTimeToDeadline:
 		return refused(api.ReasonBadRequest, "deadline missing or too far away")
 	case !call.Unrepeatable:
 		return nil
@@ -90,79 +98,81 @@
 	}
 }
 
-// admit returns the run that lost its place to the call, if any. The call's
-// shard is locked.
+// admit admits, joins, replays or refuses the call. It returns the queued run
+// that the call displaced, if any. The call's shard is locked.
 func (c *Core) admit(a *arrival) *Run {
 	if rec := a.shard.records[keyOf(a.call)]; rec != nil {
-		c.again(a, rec)
+		c.handleDuplicate(a, rec)
 		return nil
 	}
 	if a.call.Unrepeatable {
-		if reject := c.mayHaveRun(a.now, a.set, a.shard, a.call); reject != nil {
-			c.turnAway(a, reject)
+		if reject := c.checkEarlierRun(a.now, a.conf, a.shard, a.call); reject != nil {
+			c.rejectCall(a, reject)
 			return nil
 		}
 	}
-	if reject := c.barred(a); reject != nil {
-		c.turnAway(a, reject)
+	if reject := c.checkNewCall(a); reject != nil {
+		c.rejectCall(a, reject)
 		return nil
 	}
-	if reject := a.fenced(); reject != nil {
-		c.turnAway(a, reject)
+	if reject := a.checkFence(); reject != nil {
+		c.rejectCall(a, reject)
 		return nil
 	}
 	return c.enqueue(a)
 }
 
-// mayHaveRun tells whether an unseen unrepeatable call may have run before,
-// which is when this process cannot know better.
+// checkEarlierRun refuses an unrepeatable call without a record if this process
+// cannot prove that no earlier submission ran.
 //
-// An ID that was minted or held is bound to one incarnation of one agent. Only
-// that process may run it, it remembers every such call that it ran until the
-// ID is too old, and so an ID that is bound to it and unseen has not run.
+// A minted or held request ID is bound to one incarnation of one agent. Only
+// that process may run it, and it remembers each such call that it ran until
+// the ID is too old. An ID that is bound to this process and has no record
+// therefore has not run.
 //
-// A key is owned by a slot, and an earlier process in this slot, or an earlier
-// owner, may have run it and forgotten. A key minted after this process began
-// to own it cannot have been run by them. The key's time and the end of the
-// earlier process are on two clocks, each off by at most MaxClockSkew from the
-// other, and the earlier process took keys up to MaxClockSkew in its future:
-// hence twice. An opaque key has no time; it is safe once every earlier run is
-// older than the time for which keys are remembered at all.
-func (c *Core) mayHaveRun(now time.Time, set *settings, shard *identityShard, call *wire.StageCall) *refusal {
+// An idempotency key belongs to the owner of its slot. An earlier process in
+// this slot, or an earlier owner, may have run the key and forgotten it. A key
+// minted after this process became the owner cannot have been run by them. The
+// margin is twice MaxClockSkew: the key's time and the end of the earlier
+// process are on two clocks that differ by up to MaxClockSkew, and the earlier
+// process accepted keys up to MaxClockSkew in its future. An opaque key carries
+// no time; it is safe once every earlier run is older than the key retention.
+func (c *Core) checkEarlierRun(now time.Time, conf *settings, shard *identityShard, call *wire.StageCall) *refusal {
 	id := &call.Identity
 	if id.Kind != wire.IdentityKey {
-		if reject := c.misbound(call); reject != nil {
+		if reject := c.checkBinding(call); reject != nil {
 			return reject
 		}
-		return tooOld(now, set, shard, id)
+		return checkKeyAge(now, conf, shard, id)
 	}
-	since := set.ownedSince(c.cfg.Endpoint, id.Value, call.ID.Stage)
+	since := conf.ownedSince(c.cfg.Endpoint, id.Value, call.ID.Stage)
 	if id.KeyTime.IsZero() {
-		return opaqueTooSoon(now, since.Add(set.retention))
+		return checkOpaqueKey(now, since.Add(conf.retention))
 	}
-	if !id.KeyTime.After(since.Add(2 * set.skew)) {
+	if !id.KeyTime.After(since.Add(2 * conf.skew)) {
 		return unknown(api.ReasonOwnerRestarted, "the key is older than this owner")
 	}
-	return tooOld(now, set, shard, id)
+	return checkKeyAge(now, conf, shard, id)
 }
 
-func (c *Core) misbound(call *wire.StageCall) *refusal {
+// checkBinding refuses a call that is bound to another agent or incarnation.
+func (c *Core) checkBinding(call *wire.StageCall) *refusal {
 	b := call.Binding
 	named := b.Agent == c.cfg.Process.Name || b.Agent == c.cfg.Endpoint
 	if named && b.Incarnation == c.cfg.Process.Incarnation {
 		return nil
 	}
 	if call.Identity.Kind == wire.IdentityMinted {
-		// The entry made this ID for this one sending, and the agent it was
-		// bound to is gone: nothing of it ran here, nor will.
+		// The entry minted this ID for this submission only, and the incarnation
+		// that it is bound to is gone: the call did not run here and will not.
 		return refused(api.ReasonOwnerRestarted, "bound to another run of an agent")
 	}
 	return unknown(api.ReasonOwnerRestarted, "bound to another run of an agent")
 }
 
-// opaqueTooSoon holds back keys without a time until whatever ran before this
-// process owned them is older than keys are remembered.
-func opaqueTooSoon(now, safe time.Time) *refusal {
+// checkOpaqueKey refuses a key without a time until safe, when whatever ran
+// before this process owned the key is older than the key retention.
+func checkOpaqueKey(now, safe time.Time) *refusal {
 	if !now.Before(safe) {
 		return nil
 	}
@@ -171,173 +181,179 @@
 	return reject
 }
 
-// tooOld tells of keys whose record may have been forgotten.
-func tooOld(now time.Time, set *settings, shard *identityShard, id *wire.Identity) *refusal {
+// checkKeyAge refuses keys whose record may have been removed.
+func checkKeyAge(now time.Time, conf *settings, shard *identityShard, id *wire.Identity) *refusal {
 	if id.KeyTime.IsZero() {
 		return nil
 	}
-	if now.Sub(id.KeyTime) > set.retention || !id.KeyTime.After(shard.horizon) {
+	if now.Sub(id.KeyTime) > conf.retention || !id.KeyTime.After(shard.newestForgotten) {
 		return unknown(api.ReasonIDExpired, "older than calls are remembered")
 	}
 	return nil
 }
 
-// barred lists what keeps an unseen call from running.
-func (c *Core) barred(a *arrival) *refusal {
+// checkNewCall refuses a call without a record that must not run now.
+func (c *Core) checkNewCall(a *arrival) *refusal {
 	call := a.call
 	note, seen := c.calls.get(call.ID)
 	switch {
-	case seen && note.run == nil && note.fate == fateNotRun:
+	case seen && note.run == nil && note.outcome == outcomeNotRun:
 		return refused(api.ReasonRevoked, "revoked or refused before")
 	case seen:
 		return unknown(api.ReasonEarlierAttempt, "another copy of this call was taken before")
-	case a.view.refusing:
+	case a.pause.refusing:
 		return refused(api.ReasonPaused, "the agent has just been woken")
-	case a.set.pool == nil:
+	case a.conf.pool == nil:
 		return refused(api.ReasonNoBundle, "no bundle names pool "+c.cfg.Pool)
 	case call.Pool != c.cfg.Pool:
 		return refused(api.ReasonBadRequest, "the endpoint is of another pool")
 	case c.draining():
 		return refused(api.ReasonDraining, "")
-	case a.set.remaining(a.now, call) <= 0:
+	case a.conf.remaining(a.now, call) <= 0:
 		return refused(api.ReasonDeadline, "arrived too late")
-	case call.Unrepeatable && call.Identity.KeyTime.Sub(a.now) > a.set.skew:
+	case call.Unrepeatable && call.Identity.KeyTime.Sub(a.now) > a.conf.skew:
 		return refused(api.ReasonBadRequest, "the key's time is in the future")
-	case !c.owns(a.set, call):
+	case !c.owns(a.conf, call):
 		return refused(api.ReasonNotOwner, "")
-	case call.Unrepeatable && !a.shard.room(a.now, c.identities.limits):
+	case call.Unrepeatable && !a.shard.hasRoom(a.now, c.identities.limits):
 		return refused(api.ReasonTableFull, "no room to remember an unrepeatable call")
 	default:
 		return nil
 	}
 }
 
-func (c *Core) owns(set *settings, call *wire.StageCall) bool {
+// owns reports whether this agent's endpoint owns the slot of the call's
+// idempotency key; other calls have no owner.
+func (c *Core) owns(conf *settings, call *wire.StageCall) bool {
 	if !call.Unrepeatable || call.Identity.Kind != wire.IdentityKey {
 		return true
 	}
-	return owner.Owner(set.slots(), call.Identity.Value, call.ID.Stage) == c.cfg.Endpoint
+	return owner.Owner(conf.slots(), call.Identity.Value, call.ID.Stage) == c.cfg.Endpoint
 }
 
-// again answers a call whose identity is known.
-func (c *Core) again(a *arrival, rec *record) {
+// handleDuplicate answers a call whose identity has a record.
+func (c *Core) handleDuplicate(a *arrival, rec *record) {
 	note, seen := c.calls.get(a.call.ID)
-	if seen && note.run == nil && note.fate == fateNotRun {
-		// This sending was revoked, another of the same identity was not.
-		c.turnAway(a, unknown(api.ReasonRevoked, "another sending of the identity was taken"))
+	if seen && note.run == nil && note.outcome == outcomeNotRun {
+		// This call was revoked, but another submission of its identity was not.
+		c.rejectCall(a, unknown(api.ReasonRevoked, "another sending of the identity was taken"))
 		return
 	}
 	if rec.bodyHash != a.call.Identity.BodyHash {
 		if seen {
-			c.turnAway(a, unknown(api.ReasonEarlierAttempt, "another copy of this call was taken before"))
+			c.rejectCall(a, unknown(api.ReasonEarlierAttempt, "another copy of this call was taken before"))
 			return
 		}
-		c.turnAway(a, refused(api.ReasonKeyConflict, "the key was used with another body"))
+		c.rejectCall(a, refused(api.ReasonKeyConflict, "the key was used with another body"))
 		return
 	}
 	if a.call.Unrepeatable {
-		a.shard.promote(rec)
+		a.shard.makeUnrepeatable(rec)
 	}
 	switch rec.state {
 	case recordDone:
-		a.shard.touch(rec)
+		a.shard.markUsed(rec)
 		c.replay(a, rec)
 	case recordLost:
-		c.turnAway(a, unknown(api.ReasonEarlierAttempt, "an earlier sending may have run"))
+		c.rejectCall(a, unknown(api.ReasonEarlierAttempt, "an earlier sending may have run"))
 	default:
 		c.join(a, rec.run)
 	}
 }
 
+// replay answers with the stored result of an earlier submission.
 func (c *Core) replay(a *arrival, rec *record) {
 	result := rec.result
 	result.ID = a.call.ID
 	result.Replayed = true
 	result.Queued, result.Ran, result.Cost, result.Tokens = 0, 0, 0, 0
-	c.calls.note(a.now, a.call.ID, fateRan, a.set.noteUntil(a.call.Deadline))
+	c.calls.addOutcome(a.now, a.call.ID, outcomeReplayed, a.conf.noteExpiry(a.call.Deadline))
 	a.fx.add(Reply{Token: a.token, Result: result})
-	fact := c.fact(a.now, a.call, ledger.KindFinished)
-	fact.State = api.StageDone
-	fact.Detail = "replayed"
-	a.fx.add(Keep{fact})
-	c.decide(a.fx, a.call, VerdictReplayed, "", "")
+	event := c.ledgerRecord(a.now, a.call, ledger.KindFinished)
+	event.State = api.StageDone
+	event.Detail = "replayed"
+	a.fx.add(AddRecord{event})
+	c.addDecision(a.fx, a.call, VerdictReplayed, "", "")
 }
 
-// join lets a call wait for the run of an earlier sending. One that arrives
-// after its deadline does not: its tombstone, if there was one, has expired.
+// join adds the call to the waiters of an earlier submission's run. A call that
+// arrives after its deadline is not added, because its tombstone, if there was
+// one, may have expired.
 func (c *Core) join(a *arrival, run *Run) {
-	if a.set.remaining(a.now, a.call) <= 0 {
-		c.turnAway(a, unknown(api.ReasonDeadline, "an earlier sending is under way"))
+	if a.conf.remaining(a.now, a.call) <= 0 {
+		c.rejectCall(a, unknown(api.ReasonDeadline, "an earlier sending is under way"))
 		return
 	}
-	if c.calls.bind(a.now, a.call.ID, run, a.set.noteUntil(a.call.Deadline)) != bindOK {
-		c.turnAway(a, unknown(api.ReasonEarlierAttempt, "an earlier sending is under way"))
+	if c.calls.bind(a.now, a.call.ID, run, a.conf.noteExpiry(a.call.Deadline)) != bindOK {
+		c.rejectCall(a, unknown(api.ReasonEarlierAttempt, "an earlier sending is under way"))
 		return
 	}
-	w := a.waiter()
+	w := a.newWaiter()
 	w.joined = true
 	run.waiters = append(run.waiters, w)
-	a.fx.add(Timer{Token: a.token, ID: a.call.ID, At: w.deadline})
-	c.decide(a.fx, a.call, VerdictJoined, "", run.call.ID.String())
+	a.fx.add(ExpiryTimer{Token: a.token, ID: a.call.ID, At: w.deadline})
+	c.addDecision(a.fx, a.call, VerdictJoined, "", run.call.ID.String())
 }
 
-func (a *arrival) waiter() waiter {
+func (a *arrival) newWaiter() waiter {
 	return waiter{
 		token:    a.token,
 		id:       a.call.ID,
 		arrived:  a.now,
-		deadline: a.now.Add(a.set.remaining(a.now, a.call)),
+		deadline: a.now.Add(a.conf.remaining(a.now, a.call)),
 	}
 }
 
-// enqueue gives the call a run of its own.
+// enqueue creates a run for the call and starts or queues it. It returns the
+// queued run that was displaced, if any.
 func (c *Core) enqueue(a *arrival) *Run {
 	run := &Run{
-		call:     *a.call,
-		shard:    a.shard,
-		waiters:  []waiter{a.waiter()},
-		epoch:    a.view.epoch,
-		received: a.now,
-		place:    place{priority: a.call.Priority, account: a.call.Account, alone: a.call.Alone},
-	}
-	if c.calls.bind(a.now, a.call.ID, run, a.set.noteUntil(a.call.Deadline)) != bindOK {
-		c.turnAway(a, refused(api.ReasonTableFull, "no room to remember the call"))
+		call:       *a.call,
+		shard:      a.shard,
+		waiters:    []waiter{a.newWaiter()},
+		epoch:      a.pause.epoch,
+		received:   a.now,
+		schedState: schedState{priority: a.call.Priority, account: a.call.Account, exclusive: a.call.Alone},
+	}
+	if c.calls.bind(a.now, a.call.ID, run, a.conf.noteExpiry(a.call.Deadline)) != bindOK {
+		c.rejectCall(a, refused(api.ReasonTableFull, "no room to remember the call"))
 		return nil
 	}
-	remaining := a.set.remaining(a.now, a.call)
+	remaining := a.conf.remaining(a.now, a.call)
 	got := c.admission.offer(run, a.call.Weight, remaining)
 	if !got.started && !got.queued {
 		run.phase = phaseEnded
 		run.ended.Store(true)
-		c.calls.bury(a.call.ID)
-		c.turnAway(a, c.noPlace(got))
+		c.calls.markNotRun(a.call.ID)
+		c.rejectCall(a, c.admissionRefusal(got))
 		return nil
 	}
-	c.remember(run)
-	a.fx.add(Timer{Token: a.token, ID: a.call.ID, At: run.deadline()})
+	c.createRecord(run)
+	a.fx.add(ExpiryTimer{Token: a.token, ID: a.call.ID, At: run.deadline()})
 	if got.started {
-		c.start([]*Run{run}, a.fx)
+		c.startRuns([]*Run{run}, a.fx)
 		return nil
 	}
-	c.decide(a.fx, a.call, VerdictQueued, "", "", got.wait)
+	c.addDecision(a.fx, a.call, VerdictQueued, "", "", got.wait)
 	return got.displaced
 }
 
-func (c *Core) noPlace(got offer) *refusal {
+// admissionRefusal converts a negative result of admission.offer to a refusal.
+func (c *Core) admissionRefusal(got offerResult) *refusal {
 	if got.down {
-		return &refusal{status: wire.StatusRefused, reason: api.ReasonNoEndpoint, retryAfter: healthRetry}
+		return &refusal{status: wire.StatusRefused, reason: api.ReasonNoEndpoint, retryAfter: downRetryAfter}
 	}
 	reject := refused(api.ReasonOverloaded, "the queue is full")
-	if got.late {
+	if got.tooLate {
 		reject = refused(api.ReasonDeadline, "the queue is longer than the time left")
 	}
-	reject.retryAfter = c.admission.drainTime()
+	reject.retryAfter = c.admission.newArrivalWait()
 	return reject
 }
 
-// remember makes the run known to later sendings of its identity. A minted ID
-// of a repeatable call has no later sending worth joining.
-func (c *Core) remember(run *Run) {
+// createRecord adds a record so that resends find the run. A repeatable call
+// with a minted ID needs none: its client has no ID to resend it with.
+func (c *Core) createRecord(run *Run) {
 	call := &run.call
 	if !call.Unrepeatable && (call.Identity.Kind == wire.IdentityMinted || call.Identity.Value == "") {
 		return
@@ -353,28 +369,28 @@
 	run.shard.insert(run.record)
 }
 
-// start hands runs that have a slot to the shell.
-func (c *Core) start(runs []*Run, fx *effects) {
+// startRuns adds a Start effect for each run that was given a slot.
+func (c *Core) startRuns(runs []*Run, fx *effects) {
 	for _, run := range runs {
 		fx.add(Start{Run: run})
 	}
 }
 
-// turnAway answers a call that gets no run.
-func (c *Core) turnAway(a *arrival, reject *refusal) {
-	f := fateNotRun
-	verdict := VerdictRefused
+// rejectCall answers a call that gets no run, and remembers its outcome.
+func (c *Core) rejectCall(a *arrival, reject *refusal) {
+	f := outcomeNotRun
+	kind := VerdictRefused
 	if reject.status == wire.StatusUnknown {
-		f = fateUnknown
-		verdict = VerdictUnknown
+		f = outcomeUnknown
+		kind = VerdictUnknown
 	}
-	c.calls.note(a.now, a.call.ID, f, a.set.noteUntil(a.call.Deadline))
-	c.answer(a.token, a.call.ID, reject, a.fx)
-	c.keepRefusal(a.now, a.call, reject, a.fx)
-	c.decide(a.fx, a.call, verdict, reject.reason, reject.detail)
+	c.calls.addOutcome(a.now, a.call.ID, f, a.conf.noteExpiry(a.call.Deadline))
+	c.replyRefusal(a.token, a.call.ID, reject, a.fx)
+	c.ledgerRefusal(a.now, a.call, reject, a.fx)
+	c.addDecision(a.fx, a.call, kind, reject.reason, reject.detail)
 }
 
-func (c *Core) answer(token Token, id wire.CallID, reject *refusal, fx *effects) {
+func (c *Core) replyRefusal(token Token, id wire.CallID, reject *refusal, fx *effects) {
 	fx.add(Reply{Token: token, Result: wire.StageResult{
 		ID:         id,
 		Status:     reject.status,
@@ -384,19 +400,20 @@
 	}})
 }
 
-func (c *Core) keepRefusal(now time.Time, call *wire.StageCall, reject *refusal, fx *effects) {
-	fact := c.fact(now, call, ledger.KindRefused)
-	fact.Reason = reject.reason
-	fact.Detail = reject.detail
-	fact.State = api.StageNotRun
+// ledgerRefusal adds the ledger record of a refused call.
+func (c *Core) ledgerRefusal(now time.Time, call *wire.StageCall, reject *refusal, fx *effects) {
+	event := c.ledgerRecord(now, call, ledger.KindRefused)
+	event.Reason = reject.reason
+	event.Detail = reject.detail
+	event.State = api.StageNotRun
 	if reject.status != wire.StatusRefused {
-		fact.State = api.StageMayHaveRun
+		event.State = api.StageMayHaveRun
 	}
-	fx.add(Keep{fact})
+	fx.add(AddRecord{event})
 }
 
-// decide logs one decision.
-func (c *Core) decide(fx *effects, call *wire.StageCall, v Verdict, reason api.Reason, detail string, wait ...time.Duration) {
+// addDecision adds a Decision effect for the log and the metrics.
+func (c *Core) addDecision(fx *effects, call *wire.StageCall, v Verdict, reason api.Reason, detail string, wait ...time.Duration) {
 	queued, running := c.admission.load()
 	d := Decision{
 		Verdict: v,
--- a/agent/core_calls.go
+++ b/agent/core_calls.go
@@ -9,34 +9,39 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// fate is what is known of a call that has no run.
-type fate uint8
+// outcome is what is known of a call that has no run.
+type outcome uint8
 
 const (
-	// fateNotRun calls were refused or revoked: no copy of them may ever run.
-	fateNotRun fate = iota
-	// fateRan calls were answered with the result of another sending.
-	fateRan
-	// fateUnknown calls were told that an earlier sending may have run.
-	fateUnknown
+	// outcomeNotRun means that the call was refused or revoked: no copy of it
+	// may ever run.
+	outcomeNotRun outcome = iota
+	// outcomeReplayed means that the call was answered with the result of
+	// another submission.
+	outcomeReplayed
+	// outcomeUnknown means that the reply said that an earlier submission may
+	// have run.
+	outcomeUnknown
 )
 
 // callNote remembers one call by its ID until no copy of it can be accepted.
 type callNote struct {
-	// run is what the call waits or waited for; nil if it never had one.
-	run   *Run
-	fate  fate
-	until time.Time
+	// run is the run that the call waits or waited for; nil if it never had
+	// one.
+	run     *Run
+	outcome outcome
+	expires time.Time
 }
 
-// callTable remembers calls by ID, so that a revocation is answered with the
-// truth and a delayed copy of a revoked call does not run.
+// callTable remembers calls by ID, so that a revocation gets a correct answer
+// and a delayed copy of a revoked call does not run.
 //
-// The failure: an entry loses its connection after writing a call, connects
-// anew and revokes. The revocation arrives while the call still waits in the
-// socket of the old connection. "Not run" is true only if that copy is refused
-// when it is read at last. A copy that arrives after its deadline plus
-// MaxClockSkew is refused for its deadline, so no note is needed any longer.
+// It guards against this failure: an entry loses its connection after writing a
+// call, reconnects and revokes the call. The revocation arrives while the call
+// is still in the socket buffer of the old connection. The answer "not run" is
+// true only if that copy is refused when it is finally read. A copy that
+// arrives later than MaxClockSkew after its deadline is refused because of the
+// deadline, so its note is no longer needed.
 type callTable struct {
 	perShard int
 	shards   [shardCount]callShard
@@ -45,11 +50,12 @@
 type callShard struct {
 	mu    sync.Mutex
 	notes map[wire.CallID]*callNote
-	// closedUntil is set when a tombstone found no room. No call that the shard
-	// has not seen is accepted before then: refusing many calls keeps the
-	// promise about the one, forgetting the tombstone would break it.
+	// closedUntil is set when there was no room for a tombstone. Until then the
+	// shard accepts no call that it has no note of: refusing many calls keeps
+	// the promise that the revoked one does not run, and dropping the tombstone
+	// would break it.
 	closedUntil time.Time
-	swept       time.Time
+	lastSweep   time.Time
 }
 
 func newCallTable(limit int) *callTable {
@@ -76,21 +82,21 @@
 	return *note, true
 }
 
-// bindResult tells whether a call may wait for a run.
+// bindResult says whether a call was bound to a run.
 type bindResult uint8
 
 const (
 	bindOK bindResult = iota
-	// bindFull: there is no room to remember the call.
+	// bindFull means that there is no room to remember the call.
 	bindFull
-	// bindBarred: the call was refused or revoked before.
-	bindBarred
-	// bindSeen: another copy of the call was taken before.
-	bindSeen
+	// bindRevoked means that the call was refused or revoked before.
+	bindRevoked
+	// bindDuplicate means that another copy of the call was received before.
+	bindDuplicate
 )
 
-// bind ties a call to its run in one step, so that a revocation finds either
-// no note, and leaves a tombstone that bind sees, or the run.
+// bind binds a call to its run atomically. A concurrent revocation finds either
+// the run, or no note, and then leaves a tombstone that bind sees.
 func (t *callTable) bind(now time.Time, id wire.CallID, run *Run, until time.Time) bindResult {
 	s := t.shard(id)
 	s.mu.Lock()
@@ -98,10 +104,10 @@
 	if note, ok := s.notes[id]; ok {
 		return note.rebind(run)
 	}
-	if now.Before(s.closedUntil) || !s.room(now, t.perShard) {
+	if now.Before(s.closedUntil) || !s.hasRoom(now, t.perShard) {
 		return bindFull
 	}
-	s.notes[id] = &callNote{run: run, until: until}
+	s.notes[id] = &callNote{run: run, expires: until}
 	return bindOK
 }
 
@@ -109,60 +115,61 @@
 	switch {
 	case n.run == run:
 		return bindOK
-	case n.run == nil && n.fate == fateNotRun:
-		return bindBarred
+	case n.run == nil && n.outcome == outcomeNotRun:
+		return bindRevoked
 	default:
-		return bindSeen
+		return bindDuplicate
 	}
 }
 
-// note remembers the fate of a call without a run. The fate of a call that was
-// answered is remembered while there is room to spare: a connection delivers a
-// message once, so only a network that duplicates could bring it again.
-func (t *callTable) note(now time.Time, id wire.CallID, f fate, until time.Time) {
+// addOutcome remembers the outcome of a call without a run, but only while its
+// shard is less than half full. The outcome is a safeguard: a connection
+// delivers a message once, so only a network that duplicates messages could
+// deliver the call again.
+func (t *callTable) addOutcome(now time.Time, id wire.CallID, f outcome, until time.Time) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.notes[id]; ok || !s.room(now, t.perShard/2) {
+	if _, ok := s.notes[id]; ok || !s.hasRoom(now, t.perShard/2) {
 		return
 	}
-	s.notes[id] = &callNote{fate: f, until: until}
+	s.notes[id] = &callNote{outcome: f, expires: until}
 }
 
-// tombstone bars an unseen call: no copy of it will run, whatever ran before.
-// It returns the note of a call that was seen.
-func (t *callTable) tombstone(now time.Time, id wire.CallID, f fate, until time.Time) (callNote, bool) {
+// addTombstone makes sure that no copy of a call without a note will run. If
+// the call has a note, it returns the note and extends its expiry instead.
+func (t *callTable) addTombstone(now time.Time, id wire.CallID, f outcome, until time.Time) (callNote, bool) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if note, ok := s.notes[id]; ok {
-		if until.After(note.until) {
-			note.until = until
+		if until.After(note.expires) {
+			note.expires = until
 		}
 		return *note, true
 	}
-	if !s.room(now, t.perShard) {
+	if !s.hasRoom(now, t.perShard) {
 		if until.After(s.closedUntil) {
 			s.closedUntil = until
 		}
 		return callNote{}, false
 	}
-	s.notes[id] = &callNote{fate: f, until: until}
+	s.notes[id] = &callNote{outcome: f, expires: until}
 	return callNote{}, false
 }
 
-// bury turns the note of a call whose run was given up into a tombstone.
-func (t *callTable) bury(id wire.CallID) {
+// markNotRun turns the note of a call whose run was refused into a tombstone.
+func (t *callTable) markNotRun(id wire.CallID) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if note, ok := s.notes[id]; ok {
 		note.run = nil
-		note.fate = fateNotRun
+		note.outcome = outcomeNotRun
 	}
 }
 
-// sweep drops the expired notes of one shard.
+// sweep removes the expired notes of one shard.
 func (t *callTable) sweep(now time.Time, shard int) {
 	s := &t.shards[shard]
 	s.mu.Lock()
@@ -170,22 +177,24 @@
 	s.sweepLocked(now)
 }
 
-// sweepLocked keeps the notes of calls that still wait, however late it is: a
-// timer that fires late finds its call by the note.
+// sweepLocked removes expired notes. It keeps those of calls that still wait,
+// even after their expiry: a timer that fires late finds its call by the note.
 func (s *callShard) sweepLocked(now time.Time) {
-	s.swept = now
+	s.lastSweep = now
 	for id, note := range s.notes {
-		if now.After(note.until) && (note.run == nil || note.run.ended.Load()) {
+		if now.After(note.expires) && (note.run == nil || note.run.ended.Load()) {
 			delete(s.notes, id)
 		}
 	}
 }
 
-func (s *callShard) room(now time.Time, limit int) bool {
+// hasRoom reports whether the shard has fewer than limit notes. It sweeps a
+// full shard first, at most once per TickInterval.
+func (s *callShard) hasRoom(now time.Time, limit int) bool {
 	if len(s.notes) < limit {
 		return true
 	}
-	if now.Sub(s.swept) < TickInterval {
+	if now.Sub(s.lastSweep) < TickInterval {
 		return false
 	}
 	s.sweepLocked(now)
--- a/agent/core_cost.go
+++ b/agent/core_cost.go
@@ -2,26 +2,32 @@
 
 import "time"
 
-// costWeight is the weight of a new run in the moving average of costShare.
+// costWeight is the weight of a new run in the moving average of costModel.
 const costWeight = 0.1
 
-// costShare is how an endpoint charges for time: each run with its part of what
-// all of them share, as an engine does with every step, or each with all of its
-// time. A run that is cancelled or lost has no word on its cost; at its whole time
-// it would cost as much as a full batch, and a few of them more than all answers.
-// It is charged like those that complete.
-type costShare struct {
-	// factor is the cost of a run as a multiple of its time divided by the runs
-	// on the endpoint: 1 if they share it, their number if they do not.
+// costModel learns how the endpoint charges for time. Some endpoints, such as
+// batching engines, charge each run a share of the time that concurrent runs
+// have in common; others charge each run its whole time.
+//
+// A run that is cancelled or lost reports no cost. Charged its whole time it
+// would cost as much as a full batch, and a few such runs more than all
+// completed ones, so it is charged like the runs that complete.
+type costModel struct {
+	// factor is the cost of a run, as a multiple of its time divided by the
+	// number of concurrent runs: 1 if they share the time, their number if they
+	// do not.
 	factor float64
-	known  bool
+	// known means that at least one run has completed.
+	known bool
 }
 
-func (s *costShare) add(took, cost time.Duration, beside float64) {
-	if took <= 0 || cost <= 0 {
+// add updates the model with a completed run. concurrent is the mean number of
+// runs on the endpoint during it.
+func (s *costModel) add(duration, cost time.Duration, concurrent float64) {
+	if duration <= 0 || cost <= 0 {
 		return
 	}
-	latest := min(1, float64(cost)/float64(took)) * beside
+	latest := min(1, float64(cost)/float64(duration)) * concurrent
 	if !s.known {
 		s.factor, s.known = latest, true
 		return
@@ -29,10 +35,11 @@
 	s.factor += costWeight * (latest - s.factor)
 }
 
-// of is the part of took that is charged; all of it while nothing is known.
-func (s *costShare) of(took time.Duration, beside float64) time.Duration {
+// estimate returns the part of duration that is charged to an incomplete run;
+// all of it while nothing is known.
+func (s *costModel) estimate(duration time.Duration, concurrent float64) time.Duration {
 	if !s.known {
-		return took
+		return duration
 	}
-	return time.Duration(min(1, s.factor/beside) * float64(took))
+	return time.Duration(min(1, s.factor/concurrent) * float64(duration))
 }
--- a/agent/core_cost_test.go
+++ b/agent/core_cost_test.go
@@ -7,13 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// Story: one engine of twelve is ten times slower. The accounts showed a third of
-// all cost as wasted: each call that was left there was charged its whole time,
-// each answer a sixteenth of its own, because sixteen share the engine. Together
-// the calls on an engine cannot cost more than its time.
-func TestUnfinishedRunIsChargedItsShare(t *testing.T) {
+// With one engine of twelve ten times slower, a third of all cost was reported
+// as wasted: each incomplete call was charged its whole time on the slow
+// engine, but each completed one only a sixteenth, because sixteen calls share
+// the engine. The calls on an engine together must not cost more than its time.
+func TestIncompleteRunCost(t *testing.T) {
 	tests := map[string]struct {
-		// cost of the runs that complete, four at a time in 800 ms.
+		// cost is what each completed run is charged; four of them run for 800
+		// ms at a time.
 		cost    time.Duration
 		running int
 		want    time.Duration
@@ -27,12 +28,12 @@
 		t.Run(name, func(t *testing.T) {
 			a := newAdmission()
 			a.running = 4
-			run := &Run{place: place{beside: 4}}
+			run := &Run{schedState: schedState{concurrentRuns: 4}}
 			for range 50 {
-				a.complete(run, 800*time.Millisecond, test.cost)
+				a.recordCost(run, 800*time.Millisecond, test.cost)
 			}
-			a.running, run.place.beside = test.running, test.running
-			assert.Equal(t, a.charge(run, 1600*time.Millisecond), test.want)
+			a.running, run.schedState.concurrentRuns = test.running, test.running
+			assert.Equal(t, a.incompleteCost(run, 1600*time.Millisecond), test.want)
 		})
 	}
 }
--- a/agent/core_effect.go
+++ b/agent/core_effect.go
@@ -8,18 +8,19 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Token names one arrival of a call at this process. The shell draws it, and
-// the core hands it back with the reply.
+// Token identifies one arrival of a call at this process. Agent assigns it, and
+// the core returns it with the reply.
 type Token uint64
 
-// Effect is something the shell must do on behalf of the core, in order.
+// Effect is an action that Agent executes for the core. Effects are executed in
+// the order of their list.
 type Effect interface{ effect() }
 
-// Start asks the shell to run a call on the endpoint. The shell calls
-// Core.Commit immediately before it writes, and writes only what Commit returns.
+// Start asks Agent to run a call on the endpoint. Agent calls Core.Commit
+// immediately before it writes, and writes only what Commit returns.
 type Start struct{ Run *Run }
 
-// Cancel asks the shell to cancel a run on the endpoint.
+// Cancel asks Agent to cancel a run on the endpoint.
 type Cancel struct{ Run *Run }
 
 // Reply answers one arrival. Every arrival gets exactly one.
@@ -28,30 +29,32 @@
 	Result wire.StageResult
 }
 
-// SendChunk passes a streamed piece to the arrival that started the run.
+// SendChunk sends one chunk of a streamed result to the arrival that started
+// the run.
 type SendChunk struct {
 	Token Token
 	Chunk wire.StageChunk
 }
 
-// Timer asks the shell to call Core.Expire for an arrival at a time, unless a
+// ExpiryTimer asks Agent to call Core.Expire for an arrival at a time, unless a
 // Reply comes first.
-type Timer struct {
+type ExpiryTimer struct {
 	Token Token
 	ID    wire.CallID
 	At    time.Time
 }
 
-// CancelTimer asks the shell to cancel a run at a time, unless it has ended.
+// CancelTimer asks Agent to call Core.CancelOverdue for a run at a time. The
+// call does nothing if the run has ended by then or has waiters again.
 type CancelTimer struct {
 	Run *Run
 	At  time.Time
 }
 
-// Keep passes a record to the ledger.
-type Keep struct{ Record ledger.Record }
+// AddRecord adds a record to the ledger.
+type AddRecord struct{ Record ledger.Record }
 
-// Decision is one decision on a call, for the log.
+// Decision is one decision on a call, for the log and the metrics.
 type Decision struct {
 	Verdict Verdict
 	ID      wire.CallID
@@ -63,27 +66,28 @@
 	Running int
 }
 
-// DropConnections asks the shell to close every connection to peers.
+// DropConnections asks Agent to close every connection to peers. Gap is the
+// length of the pause that was detected.
 type DropConnections struct{ Gap time.Duration }
 
-// NewerBundle tells that a caller holds a newer bundle than this process.
+// NewerBundle reports that a caller has a newer bundle than this process.
 type NewerBundle struct{ Version uint64 }
 
 func (Start) effect()           {}
 func (Cancel) effect()          {}
 func (Reply) effect()           {}
 func (SendChunk) effect()       {}
-func (Timer) effect()           {}
+func (ExpiryTimer) effect()     {}
 func (CancelTimer) effect()     {}
-func (Keep) effect()            {}
+func (AddRecord) effect()       {}
 func (Decision) effect()        {}
 func (DropConnections) effect() {}
 func (NewerBundle) effect()     {}
 
-// Verdict names a decision in the log.
+// Verdict is the result of a decision, as written to the log.
 type Verdict string
 
-// The decisions.
+// The verdicts.
 const (
 	VerdictStarted  Verdict = "started"
 	VerdictQueued   Verdict = "queued"
--- a/agent/core_fence_test.go
+++ b/agent/core_fence_test.go
@@ -10,15 +10,16 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// TestNeverIsAPromise: an order is sent through one entry, which dies with the
-// call on its way. The caller sends it again through another, is refused because
-// the owner says "never", and places it anew. The first call arrives at last. It
-// must not run, while the order sent again after the refusal may.
-func TestNeverIsAPromise(t *testing.T) {
+// TestPeekNeverFencesEarlierCalls: an entry dies while an order that it sent is
+// in transit. The client resends the order through another entry, is refused
+// because the owner answers the peek with "never", and places the order anew.
+// When the first call finally arrives it must not run, while an order that was
+// sent after the peek may.
+func TestPeekNeverFencesEarlierCalls(t *testing.T) {
 	const skew = 100 * time.Millisecond
 	tests := map[string]struct {
 		entry string
-		// sent is when the call was sent, after the peek.
+		// sent is when the call was sent, relative to the peek.
 		sent time.Duration
 		runs bool
 	}{
@@ -31,8 +32,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, CoreConfig{})
-			b.pass(2 * time.Second)
+			b := newCoreHarness(t, CoreConfig{})
+			b.advance(2 * time.Second)
 			call := b.order("order", 1)
 			asked := b.now
 			state, list := b.core.Peek(b.now, wire.Peek{
@@ -40,7 +41,7 @@
 			})
 			b.do(list)
 			assert.Equal(t, state, wire.PeekNever)
-			b.pass(time.Second)
+			b.advance(time.Second)
 			call.ID.Entry = test.entry
 			call.Deadline = asked.Add(test.sent).Add(call.Budget)
 			token := b.send(call)
@@ -56,11 +57,11 @@
 	}
 }
 
-// TestNoPromiseWithoutRoom: a full table of fences must not let an owner say
-// "never", and is emptied when no barred call can come any more.
-func TestNoPromiseWithoutRoom(t *testing.T) {
-	b := newBench(t, CoreConfig{MaxUnrepeatable: 1})
-	b.pass(2 * time.Second)
+// TestPeekWithoutRoomForFence: with a full table of fences an owner must not
+// answer "never". Fences are removed once no blocked call can arrive any more.
+func TestPeekWithoutRoomForFence(t *testing.T) {
+	b := newCoreHarness(t, CoreConfig{MaxUnrepeatable: 1})
+	b.advance(2 * time.Second)
 	first, second := b.order("first", 1), b.order("second", 1)
 	for b.core.identities.shard(keyOf(&second)) != b.core.identities.shard(keyOf(&first)) {
 		second.Identity.Value += "'"
@@ -72,7 +73,7 @@
 	assert.Equal(t, peek(first), wire.PeekNever)
 	assert.Equal(t, peek(second), wire.PeekUnknown)
 	assert.Equal(t, peek(first), wire.PeekNever)
-	b.pass(time.Minute)
+	b.advance(time.Minute)
 	second.Identity.KeyTime = b.now
 	assert.Equal(t, peek(second), wire.PeekNever)
 }
--- a/agent/core_identity.go
+++ b/agent/core_identity.go
@@ -10,23 +10,25 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// identityKey is what two sendings of one call have in common.
+// identityKey identifies a call across resends.
 type identityKey struct {
 	identity string
 	stage    string
 }
 
-// recordState is how far the call of an identity got.
+// recordState is the progress of an identity's call.
 type recordState uint8
 
 const (
-	// recordReserved: taken, but not written to the endpoint.
+	// recordReserved means that the call was accepted but not written to the
+	// endpoint.
 	recordReserved recordState = iota
-	// recordCommitted: it may have been written.
+	// recordCommitted means that the call may have been written.
 	recordCommitted
-	// recordDone: its result is held.
+	// recordDone means that the result is stored.
 	recordDone
-	// recordLost: it was or may have been written and has no result, and never will.
+	// recordLost means that the call was or may have been written and will
+	// never have a result.
 	recordLost
 )
 
@@ -40,25 +42,30 @@
 	// run is set while the record is reserved or committed.
 	run    *Run
 	result wire.StageResult
-	size   int
-	until  time.Time
-	// recent is the place among results that may be forgotten.
-	recent *list.Element
+	// size is the length of the result's output in bytes.
+	size int
+	// expires is when the record may be removed, once it has no run.
+	expires time.Time
+	// lru is the record's element in the shard's LRU list; nil if the record
+	// must not be evicted.
+	lru *list.Element
 }
 
 // identityTable suppresses duplicates.
 //
-// An unrepeatable call has one record from its first arrival until its key is
-// too old to be accepted, so that no second sending finds the table empty. A
-// full shard refuses new unrepeatable calls. Results of repeatable calls are a
-// convenience and the least recently used is forgotten first.
+// An unrepeatable call has a record from its first arrival until its key is too
+// old to be accepted, so that every resend finds it. A full shard therefore
+// refuses new unrepeatable calls. Results of repeatable calls are only a cache,
+// evicted least recently used first.
 type identityTable struct {
 	limits tableLimits
 	shards [shardCount]identityShard
 }
 
-// tableLimits are for one shard.
+// tableLimits are the bounds of one shard.
 type tableLimits struct {
+	// unrepeatable and unrepeatableBytes count the records that must not be
+	// evicted and the bytes of their results.
 	unrepeatable      int
 	unrepeatableBytes int
 	results           int
@@ -71,15 +78,16 @@
 	// unrepeatable and its bytes count what must not be forgotten.
 	unrepeatable      int
 	unrepeatableBytes int
-	// recent lists repeatable results, the latest used first.
-	recent      *list.List
+	// lru lists the results of repeatable calls, the most recently used first,
+	// and resultBytes is their total size.
+	lru         *list.List
 	resultBytes int
-	// horizon is the latest key time of a forgotten unrepeatable record. No
-	// unseen key up to it is taken for new, whatever the clock and the retention
-	// in force say by then.
-	horizon time.Time
-	swept   time.Time
-	// fences bar calls that were denied before they came.
+	// newestForgotten is the latest key time of a removed unrepeatable record.
+	// A key without a record that is not later counts as too old, even if the
+	// clock was set back or the retention was raised since.
+	newestForgotten time.Time
+	lastSweep       time.Time
+	// fences block calls that a peek answered with "never" before they arrived.
 	fences map[identityKey]fence
 }
 
@@ -88,7 +96,7 @@
 	for i := range t.shards {
 		t.shards[i].records = make(map[identityKey]*record)
 		t.shards[i].fences = make(map[identityKey]fence)
-		t.shards[i].recent = list.New()
+		t.shards[i].lru = list.New()
 	}
 	return t
 }
@@ -102,15 +110,16 @@
 	return &t.shards[d.Sum64()%shardCount]
 }
 
-// room tells whether another unrepeatable record fits.
-func (s *identityShard) room(now time.Time, limits tableLimits) bool {
+// hasRoom reports whether the shard can take another unrepeatable record. It
+// sweeps a full shard first, at most once per TickInterval.
+func (s *identityShard) hasRoom(now time.Time, limits tableLimits) bool {
 	fits := func() bool {
 		return s.unrepeatable < limits.unrepeatable && s.unrepeatableBytes < limits.unrepeatableBytes
 	}
 	if fits() {
 		return true
 	}
-	if now.Sub(s.swept) < TickInterval {
+	if now.Sub(s.lastSweep) < TickInterval {
 		return false
 	}
 	s.sweep(now)
@@ -124,54 +133,57 @@
 	}
 }
 
-// promote makes a record unforgettable: its stage has become unrepeatable.
-func (s *identityShard) promote(rec *record) {
+// makeUnrepeatable protects a record from eviction, because its stage has
+// become unrepeatable since the record was created.
+func (s *identityShard) makeUnrepeatable(rec *record) {
 	if rec.unrepeatable {
 		return
 	}
-	s.dropRecent(rec)
+	s.removeFromLRU(rec)
 	rec.unrepeatable = true
 	s.unrepeatable++
 	s.unrepeatableBytes += rec.size
 }
 
-// remove forgets a record. Its caller has made sure that it may.
+// remove removes a record. The caller must make sure that it is no longer
+// needed.
 func (s *identityShard) remove(rec *record) {
 	if s.records[rec.key] != rec {
 		return
 	}
 	delete(s.records, rec.key)
-	s.dropRecent(rec)
+	s.removeFromLRU(rec)
 	if rec.unrepeatable {
 		s.unrepeatable--
 		s.unrepeatableBytes -= rec.size
 	}
 }
 
-func (s *identityShard) dropRecent(rec *record) {
-	if rec.recent == nil {
+func (s *identityShard) removeFromLRU(rec *record) {
+	if rec.lru == nil {
 		return
 	}
-	s.recent.Remove(rec.recent)
+	s.lru.Remove(rec.lru)
 	s.resultBytes -= rec.size
-	rec.recent = nil
+	rec.lru = nil
 }
 
-// hold keeps the result of a finished run.
-func (s *identityShard) hold(rec *record, result wire.StageResult, until time.Time, limits tableLimits) {
+// storeResult stores the result of a finished run, and evicts results of
+// repeatable calls that are over the limits.
+func (s *identityShard) storeResult(rec *record, result wire.StageResult, until time.Time, limits tableLimits) {
 	rec.state = recordDone
 	rec.run = nil
 	rec.result = result
-	rec.until = until
+	rec.expires = until
 	rec.size = len(result.Output)
 	if rec.unrepeatable {
 		s.unrepeatableBytes += rec.size
 		return
 	}
-	rec.recent = s.recent.PushFront(rec)
+	rec.lru = s.lru.PushFront(rec)
 	s.resultBytes += rec.size
-	for s.recent.Len() > limits.results || s.resultBytes > limits.resultBytes {
-		oldest, ok := s.recent.Back().Value.(*record)
+	for s.lru.Len() > limits.results || s.resultBytes > limits.resultBytes {
+		oldest, ok := s.lru.Back().Value.(*record)
 		if !ok {
 			return
 		}
@@ -179,34 +191,34 @@
 	}
 }
 
-// lose marks a run whose end is not known. The record stays for as long as a
-// result would, for a second run would be a double.
-func (s *identityShard) lose(rec *record, until time.Time) {
+// markLost marks a record whose run has no known result. It is kept as long as
+// a result would be, because a second run could be a duplicate.
+func (s *identityShard) markLost(rec *record, until time.Time) {
 	rec.state = recordLost
 	rec.run = nil
-	rec.until = until
+	rec.expires = until
 }
 
-func (s *identityShard) touch(rec *record) {
-	if rec.recent != nil {
-		s.recent.MoveToFront(rec.recent)
+func (s *identityShard) markUsed(rec *record) {
+	if rec.lru != nil {
+		s.lru.MoveToFront(rec.lru)
 	}
 }
 
-// sweep forgets what has outlived its time.
+// sweep removes expired fences and records.
 func (s *identityShard) sweep(now time.Time) {
-	s.swept = now
+	s.lastSweep = now
 	for key, f := range s.fences {
-		if now.After(f.until) {
+		if now.After(f.expires) {
 			delete(s.fences, key)
 		}
 	}
 	for _, rec := range s.records {
-		if rec.run != nil || !now.After(rec.until) {
+		if rec.run != nil || !now.After(rec.expires) {
 			continue
 		}
-		if rec.unrepeatable && rec.keyTime.After(s.horizon) {
-			s.horizon = rec.keyTime
+		if rec.unrepeatable && rec.keyTime.After(s.newestForgotten) {
+			s.newestForgotten = rec.keyTime
 		}
 		s.remove(rec)
 	}
--- a/agent/core_model_test.go
+++ b/agent/core_model_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// history is what the model knows of one identity; it forgets nothing.
+// history is what the model remembers of one identity; it forgets nothing.
 type history struct {
 	identity     wire.Identity
 	binding      *wire.Binding
@@ -50,15 +50,16 @@
 	attempts     int
 }
 
-// flight is a call written by an entry and not yet read by the agent.
-type flight struct {
+// sentCall is a call that an entry wrote; it is in transit until the agent
+// reads it.
+type sentCall struct {
 	call    wire.StageCall
 	history *history
 	written time.Time
 	agent   string
 }
 
-// model drives a core and remembers everything for ever.
+// model drives a core and remembers everything, to check the core's answers.
 type model struct {
 	t           *rapid.T
 	now         time.Time
@@ -66,31 +67,31 @@
 	incarnation int
 	token       Token
 	identities  []*history
-	flights     []*flight
-	calls       []*flight
-	arrivals    map[Token]*flight
+	inTransit   []*sentCall
+	calls       []*sentCall
+	arrivals    map[Token]*sentCall
 	replies     map[Token]int
 	starting    []*Run
 	running     []*Run
-	timers      []Timer
+	timers      []ExpiryTimer
 	started     map[wire.CallID]bool
-	barred      map[wire.CallID]string
-	byCall      map[wire.CallID]*flight
+	mustNotRun  map[wire.CallID]string
+	byCall      map[wire.CallID]*sentCall
 	arrived     map[wire.CallID]time.Time
-	wakes       []time.Time
+	resumes     []time.Time
 	outputs     int
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{
-		t:        t,
-		now:      testStart,
-		arrivals: make(map[Token]*flight),
-		replies:  make(map[Token]int),
-		started:  make(map[wire.CallID]bool),
-		barred:   make(map[wire.CallID]string),
-		byCall:   make(map[wire.CallID]*flight),
-		arrived:  make(map[wire.CallID]time.Time),
+		t:          t,
+		now:        testStart,
+		arrivals:   make(map[Token]*sentCall),
+		replies:    make(map[Token]int),
+		started:    make(map[wire.CallID]bool),
+		mustNotRun: make(map[wire.CallID]string),
+		byCall:     make(map[wire.CallID]*sentCall),
+		arrived:    make(map[wire.CallID]time.Time),
 	}
 	m.restart()
 	return m
@@ -105,8 +106,8 @@
 		Start:    m.now,
 		MaxCalls: 8 * shardCount,
 	})
-	m.starting, m.running, m.timers, m.flights = nil, nil, nil, nil
-	m.arrivals = make(map[Token]*flight)
+	m.starting, m.running, m.timers, m.inTransit = nil, nil, nil, nil
+	m.arrivals = make(map[Token]*sentCall)
 	m.do(m.core.Tick(m.now))
 	m.do(m.core.Configure(m.now, testBundle(1)))
 }
@@ -118,10 +119,10 @@
 		switch e := e.(type) {
 		case Start:
 			m.starting = append(m.starting, e.Run)
-		case Timer:
+		case ExpiryTimer:
 			m.timers = append(m.timers, e)
 		case DropConnections:
-			m.flights = nil
+			m.inTransit = nil
 		case Reply:
 			m.reply(e)
 		}
@@ -135,28 +136,28 @@
 	assert.Equal(m.t, r.Result.ID, f.call.ID)
 	switch r.Result.Status {
 	case wire.StatusRefused:
-		m.claimNotRun(f, "refused: "+string(r.Result.Reason))
+		m.checkNotRun(f, "refused: "+string(r.Result.Reason))
 		if f.history.unrepeatable && f.history.identity.Kind != wire.IdentityMinted && r.Result.Reason != api.ReasonKeyConflict {
-			m.claimNeverStarted(f.history, r.Result.Reason)
+			m.checkNeverStarted(f.history, r.Result.Reason)
 		}
 	case wire.StatusDone:
 		assert.Assert(m.t, f.history.outputs[string(r.Result.Output)], "result %s of another identity", r.Result.Output)
 	}
 }
 
-func (m *model) claimNotRun(f *flight, claim string) {
-	assert.Assert(m.t, !m.started[f.call.ID], "%v ran and is called %s", f.call.ID, claim)
-	m.barred[f.call.ID] = claim
+func (m *model) checkNotRun(f *sentCall, report string) {
+	assert.Assert(m.t, !m.started[f.call.ID], "%v ran but was reported as %s", f.call.ID, report)
+	m.mustNotRun[f.call.ID] = report
 }
 
-func (m *model) claimNeverStarted(h *history, reason api.Reason) {
+func (m *model) checkNeverStarted(h *history, reason api.Reason) {
 	for _, at := range h.starts {
 		forgotten := h.opaque && m.now.Sub(at) >= testRetention
-		assert.Assert(m.t, forgotten, "%v started at %v and is refused (%s) at %v", h.identity, at, reason, m.now)
+		assert.Assert(m.t, forgotten, "%v started at %v but was refused (%s) at %v", h.identity, at, reason, m.now)
 	}
 }
 
-// write lets an entry write a call for an old or a new identity.
+// write lets an entry write a call for an existing or a new identity.
 func (m *model) write(t *rapid.T) {
 	m.t = t
 	var h *history
@@ -172,7 +173,7 @@
 	}
 	left := rapid.SampledFrom([]time.Duration{50 * time.Millisecond, 500 * time.Millisecond, 4 * time.Second}).Draw(t, "left")
 	off := rapid.SampledFrom([]time.Duration{-testSkew, 0, testSkew}).Draw(t, "skew")
-	f := &flight{written: m.now, history: h, agent: m.name()}
+	f := &sentCall{written: m.now, history: h, agent: m.name()}
 	f.call = wire.StageCall{
 		ID:           wire.CallID{Request: request, Stage: "quote", Entry: "entry", Attempt: h.attempts},
 		Identity:     h.identity,
@@ -193,7 +194,7 @@
 	if rapid.IntRange(0, 19).Draw(t, "conflict") == 0 {
 		f.call.Identity.BodyHash = "other"
 	}
-	m.flights = append(m.flights, f)
+	m.inTransit = append(m.inTransit, f)
 	m.calls = append(m.calls, f)
 	m.byCall[f.call.ID] = f
 }
@@ -216,22 +217,22 @@
 	return h
 }
 
-// deliver lets the agent read any call that is on its way, perhaps twice. A
-// connection brings a message once; a second copy long after the call's
-// deadline, when the first is forgotten, is not among the promises.
+// deliver lets the agent read any call in transit, sometimes twice. A
+// connection delivers a message once; the core does not promise to recognise a
+// second copy long after the call's deadline, when the first is forgotten.
 func (m *model) deliver(t *rapid.T) {
 	m.t = t
-	if len(m.flights) == 0 {
-		t.Skip("nothing on its way")
+	if len(m.inTransit) == 0 {
+		t.Skip("no call in transit")
 	}
-	i := rapid.IntRange(0, len(m.flights)-1).Draw(t, "flight")
-	f := m.flights[i]
+	i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "flight")
+	f := m.inTransit[i]
 	forgotten := m.now.After(f.call.Deadline.Add(testSkew))
 	if forgotten && !m.arrived[f.call.ID].IsZero() {
-		t.Skip("a late copy")
+		t.Skip("a second copy after the deadline")
 	}
 	if rapid.IntRange(0, 9).Draw(t, "twice") > 0 {
-		m.flights = append(m.flights[:i], m.flights[i+1:]...)
+		m.inTransit = append(m.inTransit[:i], m.inTransit[i+1:]...)
 	}
 	m.token++
 	m.arrivals[m.token] = f
@@ -242,7 +243,7 @@
 func (m *model) revoke(t *rapid.T) {
 	m.t = t
 	if len(m.calls) == 0 {
-		t.Skip("no call")
+		t.Skip("no call was written")
 	}
 	f := m.calls[rapid.IntRange(max(0, len(m.calls)-6), len(m.calls)-1).Draw(t, "call")]
 	r := wire.Revoke{ID: f.call.ID, Until: f.call.Deadline, Incarnation: f.agent}
@@ -258,16 +259,16 @@
 	if result.State != wire.RevokedNotRun {
 		return
 	}
-	m.claimNotRun(f, "revoked, not run")
+	m.checkNotRun(f, "revoked, not run")
 	if identified && f.history.identity.Kind != wire.IdentityMinted && f.history.unrepeatable {
-		m.claimNeverStarted(f.history, api.ReasonRevoked)
+		m.checkNeverStarted(f.history, api.ReasonRevoked)
 	}
 }
 
 func (m *model) commit(t *rapid.T) {
 	m.t = t
 	if len(m.starting) == 0 {
-		t.Skip("nothing to start")
+		t.Skip("no run to start")
 	}
 	i := rapid.IntRange(0, len(m.starting)-1).Draw(t, "run")
 	run := m.starting[i]
@@ -289,11 +290,11 @@
 	fresh := false
 	for _, w := range run.waiters {
 		f := m.byCall[w.id]
-		assert.Equal(m.t, m.barred[w.id], "", "%v starts", w.id)
+		assert.Equal(m.t, m.mustNotRun[w.id], "", "%v started although it must not run", w.id)
 		m.started[w.id] = true
-		for _, wake := range m.wakes {
-			stale := f.written.Before(wake) && f.agent == m.name()
-			assert.Assert(m.t, !stale, "%v, written at %v, started after the wake at %v", w.id, f.written, wake)
+		for _, resumed := range m.resumes {
+			stale := f.written.Before(resumed) && f.agent == m.name()
+			assert.Assert(m.t, !stale, "%v, written at %v, started after the process resumed at %v", w.id, f.written, resumed)
 		}
 		fresh = fresh || m.now.Before(f.call.Deadline.Add(testSkew))
 	}
@@ -305,7 +306,7 @@
 func (m *model) finish(t *rapid.T) {
 	m.t = t
 	if len(m.running) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no call is running")
 	}
 	i := rapid.IntRange(0, len(m.running)-1).Draw(t, "run")
 	run := m.running[i]
@@ -327,7 +328,7 @@
 	m.do(m.core.Finish(m.now, run, endpoint.Result{Output: json.RawMessage(output)}, err))
 }
 
-// advance lets time pass; a running process ticks meanwhile.
+// advance lets time pass while the process ticks.
 func (m *model) advance(t *rapid.T) {
 	m.t = t
 	steps := rapid.SampledFrom([]int{1, 1, 3, 10, 60, 250}).Draw(t, "ticks")
@@ -338,18 +339,18 @@
 	m.do(m.core.Health(m.now, endpoint.Health{Up: true}, nil))
 }
 
-// stopAndWake stops the process for a while. Whatever it does first, it does
-// believing what it knew before.
-func (m *model) stopAndWake(t *rapid.T) {
+// pauseProcess pauses the process. The next event finds the core in the state
+// that it had before the pause.
+func (m *model) pauseProcess(t *rapid.T) {
 	m.t = t
 	m.now = m.now.Add(rapid.SampledFrom([]time.Duration{1500 * time.Millisecond, 3 * time.Second, 15 * time.Second}).Draw(t, "pause"))
-	m.wakes = append(m.wakes, m.now)
+	m.resumes = append(m.resumes, m.now)
 }
 
 func (m *model) expire(t *rapid.T) {
 	m.t = t
 	kept := m.timers[:0]
-	var due []Timer
+	var due []ExpiryTimer
 	for _, timer := range m.timers {
 		if timer.At.After(m.now) {
 			kept = append(kept, timer)
@@ -363,17 +364,17 @@
 	}
 }
 
-func (m *model) hangUp(t *rapid.T) {
+func (m *model) disconnect(t *rapid.T) {
 	m.t = t
 	if len(m.timers) == 0 {
-		t.Skip("nobody waits")
+		t.Skip("no call waits")
 	}
 	timer := m.timers[rapid.IntRange(0, len(m.timers)-1).Draw(t, "waiter")]
-	m.do(m.core.Gone(m.now, timer.Token, timer.ID))
+	m.do(m.core.Disconnected(m.now, timer.Token, timer.ID))
 }
 
-// settle ends everything and checks that nobody was left without a reply.
-func (m *model) settle(t *rapid.T) {
+// finishAll ends all runs and checks that every arrival got a reply.
+func (m *model) finishAll(t *rapid.T) {
 	for len(m.starting)+len(m.running) > 0 {
 		for len(m.starting) > 0 {
 			m.commit(t)
@@ -392,12 +393,12 @@
 	}
 }
 
-// A workshop makes a frame twice, or an optician is told that an order did not
-// run and it did. Entries lose connections, send again and revoke; the agent is
-// stopped, woken and restarted; its endpoint breaks off. Whatever the order of
-// these, a model that forgets nothing must find no double start, no false "not
-// run" and no result of another identity.
-func TestCoreKeepsItsWord(t *testing.T) {
+// An order must not be executed twice, and a client must not be told that an
+// order did not run if it did. Entries lose connections, resend and revoke; the
+// agent is paused, resumed and restarted; its endpoint fails. In any order of
+// these events, a model that forgets nothing must find no double start, no
+// false "not run" and no result of another identity.
+func TestCoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -409,8 +410,8 @@
 			"revoke":  m.revoke,
 			"advance": m.advance,
 			"expire":  m.expire,
-			"hang up": m.hangUp,
-			"stop":    m.stopAndWake,
+			"hang up": m.disconnect,
+			"stop":    m.pauseProcess,
 			"restart": func(t *rapid.T) {
 				m.t = t
 				if rapid.IntRange(0, 2).Draw(t, "really") > 0 {
@@ -419,6 +420,6 @@
 				m.restart()
 			},
 		})
-		m.settle(t)
+		m.finishAll(t)
 	})
 }
--- a/agent/core_pause.go
+++ b/agent/core_pause.go
@@ -6,98 +6,107 @@
 )
 
 const (
-	// TickInterval is how often the shell calls Core.Tick.
+	// TickInterval is the interval at which Agent calls Core.Tick.
 	TickInterval = 100 * time.Millisecond
-	// PauseLimit is the longest gap between ticks of a process that was running.
+	// PauseLimit is the longest gap between ticks that does not count as a
+	// pause.
 	PauseLimit = time.Second
-	// pauseSettle is how long calls are refused after a pause was noticed. The
-	// ticker of a process that wakes fires at once and again at its next
-	// multiple, perhaps a millisecond later, so a single tick proves nothing;
-	// readers need this long to hand over what they had already read.
-	pauseSettle = 2 * TickInterval
+	// refusalAfterPause is how long calls are refused after a pause was
+	// detected. The ticker of a resumed process fires at once and again at its
+	// next multiple, perhaps a millisecond later, so a single tick proves
+	// nothing. The connections' readers need this time to hand over what they
+	// had already read.
+	refusalAfterPause = 2 * TickInterval
 )
 
-// pauseGuard notices that the process was stopped and has been woken.
+// pauseDetector detects that the process was paused, for example by SIGSTOP or
+// a suspended VM, and has resumed.
 //
-// The failure: a stopped process does not read its sockets. On waking, a call
-// that waited there for seconds is read as if it had just come, and its
-// relative budget starts anew; so do calls that were read but not yet written
-// to the endpoint. Their senders gave up on them long ago. Clocks do not stop
-// with the process: the first event after waking is far later than the latest
-// tick. From then on nothing of the time before the gap may be written.
-type pauseGuard struct {
+// It guards against this failure: a paused process does not read its sockets.
+// After it resumes, a call that waited there for seconds is read as if it had
+// just arrived, and its relative budget starts anew. The same holds for calls
+// that were read but not yet written to the endpoint. Their senders gave up on
+// them long ago. Clocks do not stop with the process, so the first event after
+// resuming is much later than the latest tick. From then on, no call that was
+// received before the pause may be written to the endpoint.
+type pauseDetector struct {
 	mu       sync.Mutex
 	lastTick time.Time
-	// epoch counts pauses; a call of an older epoch must not start.
+	// epoch counts pauses; a call of an earlier epoch must not start.
 	epoch uint64
-	// settled is the time from which a tick ends the refusals; zero if none.
-	settled time.Time
+	// refuseUntil is the time from which a tick ends the refusals; zero if
+	// calls are not refused.
+	refuseUntil time.Time
 }
 
-// pauseView is the guard's word at one event.
-type pauseView struct {
+// pauseStatus is the state of the pauseDetector at one event.
+type pauseStatus struct {
 	epoch uint64
-	// refusing: calls that arrive now are not trusted to be fresh.
+	// refusing means that arriving calls are refused, because they may have
+	// been sent before the pause.
 	refusing bool
-	// gap is not zero for the one event that noticed the pause.
+	// gap is the length of the pause at the one event that detects it, else
+	// zero.
 	gap time.Duration
 }
 
-func (g *pauseGuard) observe(now time.Time) pauseView {
+// observe returns the status at an event, and starts a new epoch if it detects
+// a pause.
+func (g *pauseDetector) observe(now time.Time) pauseStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.observeLocked(now)
 }
 
-func (g *pauseGuard) observeLocked(now time.Time) pauseView {
-	view := g.view(now)
-	if view.gap == 0 {
-		return view
+func (g *pauseDetector) observeLocked(now time.Time) pauseStatus {
+	status := g.statusAt(now)
+	if status.gap == 0 {
+		return status
 	}
 	g.epoch++
-	g.settled = now.Add(pauseSettle)
+	g.refuseUntil = now.Add(refusalAfterPause)
 	g.lastTick = now
-	return pauseView{epoch: g.epoch, refusing: true, gap: view.gap}
+	return pauseStatus{epoch: g.epoch, refusing: true, gap: status.gap}
 }
 
-// peek judges like observe and changes nothing: the next event will notice the
-// pause and act on it.
-func (g *pauseGuard) peek(now time.Time) pauseView {
+// check returns the status without changing it: the next event will detect the
+// pause and handle it.
+func (g *pauseDetector) check(now time.Time) pauseStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.view(now)
+	return g.statusAt(now)
 }
 
-func (g *pauseGuard) view(now time.Time) pauseView {
-	view := pauseView{epoch: g.epoch, refusing: !g.settled.IsZero()}
+func (g *pauseDetector) statusAt(now time.Time) pauseStatus {
+	status := pauseStatus{epoch: g.epoch, refusing: !g.refuseUntil.IsZero()}
 	if g.lastTick.IsZero() {
-		return view
+		return status
 	}
 	if gap := elapsed(g.lastTick, now); gap > PauseLimit {
-		view.gap = gap
+		status.gap = gap
 	}
-	return view
+	return status
 }
 
-// tick notes that the process runs.
-func (g *pauseGuard) tick(now time.Time) pauseView {
+// tick records that the process runs, and ends the refusals when they are due.
+func (g *pauseDetector) tick(now time.Time) pauseStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	view := g.observeLocked(now)
+	status := g.observeLocked(now)
 	if now.After(g.lastTick) {
 		g.lastTick = now
 	}
-	if view.gap == 0 && !g.settled.IsZero() && !now.Before(g.settled) {
-		g.settled = time.Time{}
-		view.refusing = false
+	if status.gap == 0 && !g.refuseUntil.IsZero() && !now.Before(g.refuseUntil) {
+		g.refuseUntil = time.Time{}
+		status.refusing = false
 	}
-	return view
+	return status
 }
 
-// elapsed is the larger of the monotonic and the wall clock's difference. The
-// monotonic clock of a suspended VM may stand still while its wall clock is
-// set forward on waking. A wall clock that is merely corrected by more than
-// PauseLimit costs some needless refusals.
+// elapsed returns the larger of the differences on the monotonic clock and on
+// the wall clock. The monotonic clock of a suspended VM may stand still, while
+// its wall clock is set forward on resuming. A wall clock that is merely
+// corrected by more than PauseLimit causes some needless refusals.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
--- a/agent/core_queue.go
+++ b/agent/core_queue.go
@@ -8,319 +8,339 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// admission bounds the calls on the endpoint and orders those that wait. Its
-// lock is the innermost of the core's.
+// admission limits the concurrent calls on the endpoint and orders the queue.
+// Its lock is the last that the core acquires.
 type admission struct {
 	mu          sync.Mutex
 	concurrency int
-	limit       int
+	queueLimit  int
 	running     int
-	// alone: the one call on the endpoint wants no company.
-	alone bool
-	// down: the endpoint does not answer; nothing starts.
-	down      bool
-	crashLoad int
-	queue     []*Run
-	fair      map[int]*fairClock
-	arrivals  uint64
-	reports   uint64
-	times     window
-	share     costShare
-}
-
-// place is a run's place in the queue; it is guarded by admission.mu.
-type place struct {
-	state    placeState
+	// exclusive means that the only running call must not share the endpoint.
+	exclusive bool
+	// down means that the endpoint does not answer; no run starts.
+	down bool
+	// runningAtCrash is the number of runs on the endpoint when it went down.
+	runningAtCrash int
+	queue          []*Run
+	// clocks holds the fair queueing clock of each priority that has waiting
+	// runs.
+	clocks       map[int]*fairClock
+	arrivalCount uint64
+	reportSeq    uint64
+	// times holds the recent run times; costs models what runs are charged.
+	times window
+	costs costModel
+}
+
+// schedState is the scheduling state of a run; it is guarded by admission.mu.
+type schedState struct {
+	slot     slotState
 	priority int
 	account  string
-	alone    bool
-	// start and finish are the tags of start-time fair queueing.
-	start, finish float64
-	arrival       uint64
-	// beside is the number of runs on the endpoint once this one had started.
-	beside int
+	// exclusive means that the run must not share the endpoint with other runs.
+	exclusive bool
+	// startTag and finishTag are the tags of start-time fair queueing.
+	startTag, finishTag float64
+	arrivalSeq          uint64
+	// concurrentRuns is the number of runs on the endpoint, this one included,
+	// when it started.
+	concurrentRuns int
 }
 
-type placeState uint8
+// slotState says whether a run is queued or holds a slot on the endpoint.
+type slotState uint8
 
 const (
-	placeNone placeState = iota
-	placeQueued
-	placeSlot
+	slotNone slotState = iota
+	slotQueued
+	slotHeld
 )
 
-// fairClock is the virtual time of one priority. A call's start tag is the
-// later of the virtual time and its account's previous finish tag; the finish
-// tag lies 1/weight later. Serving by start tag gives each account with waiting
-// calls its share by weight, however many calls it has sent.
+// fairClock is the virtual time of one priority for start-time fair queueing. A
+// call's start tag is the later of the virtual time and its account's previous
+// finish tag; its finish tag is 1/weight later. Serving by start tag gives each
+// account with waiting calls its share by weight, however many calls it has
+// sent.
 type fairClock struct {
-	virtual float64
-	finish  map[string]float64
-	waiting int
+	virtualTime float64
+	finishTag   map[string]float64
+	waiting     int
 }
 
 func newAdmission() *admission {
-	return &admission{fair: make(map[int]*fairClock)}
+	return &admission{clocks: make(map[int]*fairClock)}
 }
 
-// offer is the outcome of offering a run to the queue.
-type offer struct {
+// offerResult is the result of offering a run to the queue. The run was refused
+// if it neither started nor was queued.
+type offerResult struct {
 	started bool
 	queued  bool
-	// displaced is the run that lost its place to this one.
+	// displaced is the queued run that was removed to make room for this one.
 	displaced *Run
 	// wait is the expected time until the start.
 	wait time.Duration
-	// late: the run would start too late for its deadline.
-	late bool
-	// down: the endpoint does not answer.
+	// tooLate means that the run was refused because it would end after its
+	// deadline.
+	tooLate bool
+	// down means that the run was refused because the endpoint does not answer.
 	down bool
 }
 
-// offer starts the run, queues it or refuses it. A run that would wait beyond
-// remaining is refused now rather than when it is too late to go elsewhere.
-func (a *admission) offer(run *Run, weight int, remaining time.Duration) offer {
+// offer starts the run, queues it or refuses it. A run that could not complete
+// within remaining is refused at once, while its sender still has time to use
+// another endpoint.
+func (a *admission) offer(run *Run, weight int, remaining time.Duration) offerResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down {
-		return offer{down: true}
+		return offerResult{down: true}
 	}
-	if len(a.queue) == 0 && a.fits(run) {
-		a.occupy(run)
-		return offer{started: true}
+	if len(a.queue) == 0 && a.canStart(run) {
+		a.takeSlot(run)
+		return offerResult{started: true}
 	}
 	a.tag(run, weight)
-	at := a.position(run)
-	result := offer{wait: a.expectedWait(at)}
+	at := a.insertIndex(run)
+	result := offerResult{wait: a.expectedWait(at)}
 	if result.wait+a.times.mean() > remaining {
-		result.late = true
-		a.untag(run)
+		result.tooLate = true
+		a.refundTag(run)
 		return result
 	}
-	if len(a.queue) >= a.limit {
+	if len(a.queue) >= a.queueLimit {
 		if at >= len(a.queue) {
-			a.untag(run)
+			a.refundTag(run)
 			return result
 		}
 		result.displaced = a.queue[len(a.queue)-1]
-		a.unqueue(len(a.queue) - 1)
+		a.withdrawAt(len(a.queue) - 1)
 	}
 	a.queue = append(a.queue, nil)
 	copy(a.queue[at+1:], a.queue[at:])
 	a.queue[at] = run
-	run.place.state = placeQueued
+	run.schedState.slot = slotQueued
 	result.queued = true
 	return result
 }
 
-// leave frees the slot or the place of a run and returns the runs that start
-// in its stead.
-func (a *admission) leave(run *Run) []*Run {
+// remove releases the slot or the queue position of a run and returns the runs
+// that start instead.
+func (a *admission) remove(run *Run) []*Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.vacate(run)
-	return a.startNext()
+	a.release(run)
+	return a.startQueued()
 }
 
-// finished frees the slot of a run that was on the endpoint for took. Failures
-// are often fast and say nothing of how long a call takes.
-func (a *admission) finished(run *Run, took time.Duration, complete bool) []*Run {
+// finish releases the slot of a run that was on the endpoint for duration, and
+// returns the runs that start instead. The times of incomplete runs are not
+// counted: failures are often fast and say nothing about how long a call takes.
+func (a *admission) finish(run *Run, duration time.Duration, complete bool) []*Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if complete {
-		a.times.add(took)
+		a.times.add(duration)
 	}
-	a.vacate(run)
-	return a.startNext()
+	a.release(run)
+	return a.startQueued()
 }
 
-// hopeless tells whether a call with that much time left is better not started.
-// Calls that were expected to come in time may have been passed in the queue; run
-// to their deadline, most of them would take a place for nothing from those that
-// wait. While nobody waits, even an unlikely answer is worth a try.
-func (a *admission) hopeless(remaining time.Duration) bool {
+// tooLateToStart reports whether a call with this time left should not be
+// started. Calls that were expected to meet their deadline may have been
+// overtaken in the queue; if they started, most would time out and waste the
+// slots that other queued calls need. While the queue is empty, even an
+// unlikely success is worth the attempt.
+func (a *admission) tooLateToStart(remaining time.Duration) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.queue) > 0 && remaining < a.times.p50
 }
 
-// complete takes in what the endpoint charged for a run that was on it for took.
-func (a *admission) complete(run *Run, took, cost time.Duration) {
+// recordCost updates the cost model with a completed run that was on the
+// endpoint for duration.
+func (a *admission) recordCost(run *Run, duration, cost time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.share.add(took, cost, a.beside(run))
+	a.costs.add(duration, cost, a.concurrentRuns(run))
 }
 
-// charge is the cost of a run that did not complete after took on the endpoint.
-func (a *admission) charge(run *Run, took time.Duration) time.Duration {
+// incompleteCost returns the cost of a run that did not complete after duration
+// on the endpoint.
+func (a *admission) incompleteCost(run *Run, duration time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.share.of(took, a.beside(run))
+	return a.costs.estimate(duration, a.concurrentRuns(run))
 }
 
-// beside is about how many runs were on the endpoint during this one, itself
-// included: the mean of its beginning and now.
-func (a *admission) beside(run *Run) float64 {
-	return max(1, float64(run.place.beside+a.running)/2)
+// concurrentRuns estimates the number of runs on the endpoint during this one,
+// itself included: the mean of the numbers at its start and now.
+func (a *admission) concurrentRuns(run *Run) float64 {
+	return max(1, float64(run.schedState.concurrentRuns+a.running)/2)
 }
 
-func (a *admission) vacate(run *Run) {
-	switch run.place.state {
-	case placeQueued:
+func (a *admission) release(run *Run) {
+	switch run.schedState.slot {
+	case slotQueued:
 		for i, queued := range a.queue {
 			if queued == run {
-				a.unqueue(i)
+				a.withdrawAt(i)
 				break
 			}
 		}
-	case placeSlot:
+	case slotHeld:
 		a.running--
-		a.alone = false
+		a.exclusive = false
 	}
-	run.place.state = placeNone
+	run.schedState.slot = slotNone
 }
 
-// flush empties the queue and returns what was in it.
+// flush empties the queue and returns the runs that were in it.
 func (a *admission) flush() []*Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	flushed := a.queue
 	a.queue = nil
 	for _, run := range flushed {
-		run.place.state = placeNone
+		run.schedState.slot = slotNone
 	}
-	a.fair = make(map[int]*fairClock)
+	a.clocks = make(map[int]*fairClock)
 	return flushed
 }
 
-// resize applies new bounds; it returns the runs that start and those that no
-// longer have a place.
+// resize applies new limits; it returns the runs that start and those that no
+// longer fit into the queue.
 func (a *admission) resize(concurrency, limit int) (started, displaced []*Run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.concurrency, a.limit = concurrency, limit
-	started = a.startNext()
+	a.concurrency, a.queueLimit = concurrency, limit
+	started = a.startQueued()
 	for len(a.queue) > limit {
 		last := len(a.queue) - 1
 		displaced = append(displaced, a.queue[last])
-		a.unqueue(last)
+		a.withdrawAt(last)
 	}
 	return started, displaced
 }
 
-func (a *admission) fits(run *Run) bool {
+// canStart reports whether a run may start now.
+func (a *admission) canStart(run *Run) bool {
 	switch {
-	case a.down || a.alone:
+	case a.down || a.exclusive:
 		return false
-	case run.place.alone:
+	case run.schedState.exclusive:
 		return a.running == 0
 	default:
 		return a.running < a.concurrency
 	}
 }
 
-func (a *admission) occupy(run *Run) {
+func (a *admission) takeSlot(run *Run) {
 	a.running++
-	a.alone = run.place.alone
-	run.place.state = placeSlot
-	run.place.beside = a.running
+	a.exclusive = run.schedState.exclusive
+	run.schedState.slot = slotHeld
+	run.schedState.concurrentRuns = a.running
 }
 
-// startNext starts from the front of the queue. A call that wants the endpoint
-// for itself holds back those behind it, or it would wait for ever.
-func (a *admission) startNext() []*Run {
+// startQueued starts runs from the front of the queue while they may start. An
+// exclusive run at the front blocks those behind it, or it might never start.
+func (a *admission) startQueued() []*Run {
 	var started []*Run
-	for len(a.queue) > 0 && a.fits(a.queue[0]) {
+	for len(a.queue) > 0 && a.canStart(a.queue[0]) {
 		run := a.queue[0]
-		if clock := a.fair[run.place.priority]; clock != nil {
-			clock.virtual = max(clock.virtual, run.place.start)
+		if clock := a.clocks[run.schedState.priority]; clock != nil {
+			clock.virtualTime = max(clock.virtualTime, run.schedState.startTag)
 		}
-		a.removeAt(0)
-		a.occupy(run)
+		a.dequeueAt(0)
+		a.takeSlot(run)
 		started = append(started, run)
 	}
 	return started
 }
 
-func (a *admission) unqueue(i int) {
+// withdrawAt removes a queued run that will not start.
+func (a *admission) withdrawAt(i int) {
 	run := a.queue[i]
-	a.untag(run)
+	a.refundTag(run)
 	a.queue = append(a.queue[:i], a.queue[i+1:]...)
-	run.place.state = placeNone
+	run.schedState.slot = slotNone
 }
 
-func (a *admission) removeAt(i int) {
+// dequeueAt removes a queued run that is about to start.
+func (a *admission) dequeueAt(i int) {
 	run := a.queue[i]
 	a.queue = append(a.queue[:i], a.queue[i+1:]...)
-	a.retire(run.place.priority)
+	a.releaseClock(run.schedState.priority)
 }
 
+// tag assigns the fair queueing tags of a run.
 func (a *admission) tag(run *Run, weight int) {
-	p := &run.place
-	clock, ok := a.fair[p.priority]
+	p := &run.schedState
+	clock, ok := a.clocks[p.priority]
 	if !ok {
-		clock = &fairClock{finish: make(map[string]float64)}
-		a.fair[p.priority] = clock
+		clock = &fairClock{finishTag: make(map[string]float64)}
+		a.clocks[p.priority] = clock
 	}
-	a.arrivals++
-	p.arrival = a.arrivals
-	p.start = max(clock.virtual, clock.finish[p.account])
-	p.finish = p.start + 1/float64(max(1, weight))
-	clock.finish[p.account] = p.finish
+	a.arrivalCount++
+	p.arrivalSeq = a.arrivalCount
+	p.startTag = max(clock.virtualTime, clock.finishTag[p.account])
+	p.finishTag = p.startTag + 1/float64(max(1, weight))
+	clock.finishTag[p.account] = p.finishTag
 	clock.waiting++
 }
 
-// untag gives back the share that a run has not used.
-func (a *admission) untag(run *Run) {
-	p := &run.place
-	clock := a.fair[p.priority]
+// refundTag returns the share of a run that leaves the queue without starting.
+func (a *admission) refundTag(run *Run) {
+	p := &run.schedState
+	clock := a.clocks[p.priority]
 	if clock == nil {
 		return
 	}
-	if clock.finish[p.account] == p.finish {
-		clock.finish[p.account] = p.start
+	if clock.finishTag[p.account] == p.finishTag {
+		clock.finishTag[p.account] = p.startTag
 	}
-	a.retire(p.priority)
+	a.releaseClock(p.priority)
 }
 
-// retire drops the clock of a priority that has no waiting call: without a
-// queue everybody gets all it asks for, and the map stays as small as the queue.
-func (a *admission) retire(priority int) {
-	clock := a.fair[priority]
+// releaseClock removes the clock of a priority that has no more waiting calls.
+// Shares matter only while calls wait, and the map stays as small as the queue.
+func (a *admission) releaseClock(priority int) {
+	clock := a.clocks[priority]
 	if clock == nil {
 		return
 	}
 	clock.waiting--
 	if clock.waiting <= 0 {
-		delete(a.fair, priority)
+		delete(a.clocks, priority)
 	}
 }
 
-// position is the index at which run belongs.
-func (a *admission) position(run *Run) int {
+// insertIndex returns the index in the queue at which run belongs.
+func (a *admission) insertIndex(run *Run) int {
 	return sort.Search(len(a.queue), func(i int) bool {
-		return before(&run.place, &a.queue[i].place)
+		return runsBefore(&run.schedState, &a.queue[i].schedState)
 	})
 }
 
-func before(p, q *place) bool {
+func runsBefore(p, q *schedState) bool {
 	switch {
 	case p.priority != q.priority:
 		return p.priority > q.priority
-	case p.start != q.start:
-		return p.start < q.start
+	case p.startTag != q.startTag:
+		return p.startTag < q.startTag
 	default:
-		return p.arrival < q.arrival
+		return p.arrivalSeq < q.arrivalSeq
 	}
 }
 
-// expectedWait is the time until a call with that many before it starts.
+// expectedWait returns the expected time until a call with ahead calls before
+// it starts.
 func (a *admission) expectedWait(ahead int) time.Duration {
 	return a.times.mean() * time.Duration(ahead+1) / time.Duration(max(1, a.concurrency))
 }
 
-// drainTime is when a newcomer can expect a free place.
-func (a *admission) drainTime() time.Duration {
+// newArrivalWait returns the expected queueing time of a call that arrives now.
+func (a *admission) newArrivalWait() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.expectedWait(len(a.queue))
@@ -332,58 +352,58 @@
 	a.times.typical = d
 }
 
-func (a *admission) refresh() {
+func (a *admission) refreshQuantiles() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.times.refresh()
+	a.times.refreshQuantiles()
 }
 
-// setDown stops starts and returns the runs that waited.
-func (a *admission) setDown() []*Run {
+// markDown stops starts and returns the runs that were queued.
+func (a *admission) markDown() []*Run {
 	a.mu.Lock()
 	if !a.down {
 		a.down = true
-		a.crashLoad = a.running
+		a.runningAtCrash = a.running
 	}
 	a.mu.Unlock()
 	return a.flush()
 }
 
-// up allows starts again.
-func (a *admission) up() []*Run {
+// markUp allows starts again and returns the runs that start.
+func (a *admission) markUp() []*Run {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down = false
-	return a.startNext()
+	return a.startQueued()
 }
 
-// crashed notes that the endpoint went down under a call and returns the
-// number of other calls on it at that time. The calls that it takes along end
-// one after the other; all of them count those that were there at the first.
-func (a *admission) crashed() int {
+// recordCrash marks the endpoint as down after a call was lost in a crash, and
+// returns the number of other calls that were on it. The calls lost in one
+// crash end one after the other; each gets the number at the time of the first.
+func (a *admission) recordCrash() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.down {
 		a.down = true
-		a.crashLoad = a.running
+		a.runningAtCrash = a.running
 	}
-	return max(0, a.crashLoad-1)
+	return max(0, a.runningAtCrash-1)
 }
 
-// load returns the numbers of waiting and running calls.
+// load returns the numbers of queued and running calls.
 func (a *admission) load() (queued, running int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.queue), a.running
 }
 
-// report fills in the load. The sequence number is drawn under the lock, so
-// that a later number never carries an older load.
-func (a *admission) report(r *wire.AgentReport) {
+// fillReport sets the load in r. The sequence number is assigned under the
+// lock, so that a higher number never carries an older load.
+func (a *admission) fillReport(r *wire.AgentReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.reports++
-	r.Seq = a.reports
+	a.reportSeq++
+	r.Seq = a.reportSeq
 	r.Capacity = a.concurrency
 	r.InFlight = a.running
 	r.Queued = len(a.queue)
--- a/agent/core_queue_test.go
+++ b/agent/core_queue_test.go
@@ -17,20 +17,20 @@
 }
 
 func queuedRun(account string, priority int) *Run {
-	return &Run{place: place{account: account, priority: priority}}
+	return &Run{schedState: schedState{account: account, priority: priority}}
 }
 
-// drainOrder frees the slot again and again and names the accounts in the
-// order in which they start.
+// drainOrder frees the slot until the queue is empty and returns the accounts
+// in the order in which their runs start.
 func drainOrder(a *admission, running *Run) string {
 	var order []string
 	for {
-		started := a.leave(running)
+		started := a.remove(running)
 		if len(started) == 0 {
 			return strings.Join(order, "")
 		}
 		running = started[0]
-		order = append(order, running.place.account)
+		order = append(order, running.schedState.account)
 	}
 }
 
@@ -54,7 +54,7 @@
 	}{
 		{"arrival order in one account", repeat(3, arrival{"a", 0, 1}), "aaa"},
 		{"priority first", append(repeat(2, arrival{"a", 0, 1}), repeat(2, arrival{"b", 1, 1})...), "bbaa"},
-		{"equal weights take turns", append(repeat(4, arrival{"a", 0, 1}), repeat(4, arrival{"b", 0, 1})...), "abababab"},
+		{"equal weights alternate", append(repeat(4, arrival{"a", 0, 1}), repeat(4, arrival{"b", 0, 1})...), "abababab"},
 		{"shares by weight", append(repeat(4, arrival{"a", 0, 1}), repeat(6, arrival{"b", 0, 3})...), "abbbabbbaa"},
 	}
 	for _, test := range tests {
@@ -66,72 +66,73 @@
 				assert.Assert(t, a.offer(queuedRun(next.account, next.priority), next.weight, time.Minute).queued)
 			}
 			assert.Equal(t, drainOrder(a, first), test.want)
-			assert.Equal(t, len(a.fair), 0)
+			assert.Equal(t, len(a.clocks), 0)
 		})
 	}
 }
 
 // A large account fills the queue. A small account within its share, and an
-// emergency desk, must still find a place, and whoever loses one is told.
+// account of higher priority, must still be queued, and the displaced run must
+// be returned so that it can be refused.
 func TestFullQueueDisplaces(t *testing.T) {
 	a := testAdmission(1, 4)
 	first := queuedRun("x", 0)
 	a.offer(first, 1, time.Minute)
-	flood := make([]*Run, 4)
-	for i := range flood {
-		flood[i] = queuedRun("a", 0)
-		assert.Assert(t, a.offer(flood[i], 1, time.Minute).queued)
+	waiting := make([]*Run, 4)
+	for i := range waiting {
+		waiting[i] = queuedRun("a", 0)
+		assert.Assert(t, a.offer(waiting[i], 1, time.Minute).queued)
 	}
 	more := a.offer(queuedRun("a", 0), 1, time.Minute)
-	assert.Assert(t, !more.queued && more.displaced == nil, "the flood displaces nobody")
+	assert.Assert(t, !more.queued && more.displaced == nil, "an account over its share displaces no other run")
 	small := a.offer(queuedRun("b", 0), 1, time.Minute)
 	assert.Assert(t, small.queued)
-	assert.Assert(t, small.displaced == flood[3])
+	assert.Assert(t, small.displaced == waiting[3])
 	urgent := a.offer(queuedRun("c", 9), 1, time.Minute)
 	assert.Assert(t, urgent.queued)
-	assert.Assert(t, urgent.displaced == flood[2])
+	assert.Assert(t, urgent.displaced == waiting[2])
 	assert.Equal(t, drainOrder(a, first), "caba")
 }
 
-func TestQueueRefusesWhatWouldBeLate(t *testing.T) {
+func TestQueueRefusesLateCalls(t *testing.T) {
 	a := testAdmission(1, 64)
 	a.offer(queuedRun("x", 0), 1, time.Minute)
 	for range 4 {
 		a.offer(queuedRun("a", 0), 1, time.Minute)
 	}
 	got := a.offer(queuedRun("a", 0), 1, 30*time.Millisecond)
-	assert.Assert(t, got.late && !got.queued)
-	assert.Assert(t, a.drainTime() >= 40*time.Millisecond)
+	assert.Assert(t, got.tooLate && !got.queued)
+	assert.Assert(t, a.newArrivalWait() >= 40*time.Millisecond)
 	assert.Assert(t, a.offer(queuedRun("a", 7), 1, 30*time.Millisecond).queued, "priority shortens the wait")
 }
 
-// Story: in a storm a caller's request is passed in the queue by others and starts
-// a tenth of a second before its deadline. The engine worked on it in vain while
-// requests with time left waited behind it and came too late as well.
-func TestHopelessCallsMakeRoom(t *testing.T) {
+// Under overload a request is overtaken in the queue and would start a tenth of
+// a second before its deadline. The engine's work on it would be wasted, while
+// queued requests with time left would also miss their deadlines.
+func TestCallsTooLateToFinishAreNotStarted(t *testing.T) {
 	a := testAdmission(1, 8)
-	assert.Assert(t, !a.hopeless(time.Millisecond), "nothing is known")
-	a.finished(queuedRun("x", 0), time.Second, true)
-	a.refresh()
-	assert.Assert(t, !a.hopeless(100*time.Millisecond), "nobody waits")
+	assert.Assert(t, !a.tooLateToStart(time.Millisecond), "no run time has been measured")
+	a.finish(queuedRun("x", 0), time.Second, true)
+	a.refreshQuantiles()
+	assert.Assert(t, !a.tooLateToStart(100*time.Millisecond), "the queue is empty")
 	a.offer(queuedRun("a", 0), 1, time.Minute)
 	a.offer(queuedRun("b", 0), 1, time.Minute)
-	assert.Assert(t, a.hopeless(100*time.Millisecond))
-	assert.Assert(t, !a.hopeless(2*time.Second))
+	assert.Assert(t, a.tooLateToStart(100*time.Millisecond))
+	assert.Assert(t, !a.tooLateToStart(2*time.Second))
 }
 
-func TestAloneHasNoCompany(t *testing.T) {
+func TestExclusiveCallRunsAlone(t *testing.T) {
 	a := testAdmission(2, 64)
 	first, second := queuedRun("x", 0), queuedRun("y", 0)
 	a.offer(first, 1, time.Minute)
 	alone := queuedRun("alone", 0)
-	alone.place.alone = true
-	assert.Assert(t, a.offer(alone, 1, time.Minute).queued, "something runs")
-	assert.Assert(t, a.offer(second, 1, time.Minute).queued, "it must not be overtaken for ever")
-	started := a.leave(first)
+	alone.schedState.exclusive = true
+	assert.Assert(t, a.offer(alone, 1, time.Minute).queued, "another call is running")
+	assert.Assert(t, a.offer(second, 1, time.Minute).queued, "later calls must not overtake an exclusive call")
+	started := a.remove(first)
 	assert.Equal(t, len(started), 1)
 	assert.Assert(t, started[0] == alone)
-	started = a.leave(alone)
+	started = a.remove(alone)
 	assert.Equal(t, len(started), 1)
 	assert.Assert(t, started[0] == second)
 }
@@ -146,12 +147,12 @@
 	started, displaced := a.resize(2, 2)
 	assert.Equal(t, len(started), 1)
 	assert.Equal(t, len(displaced), 2)
-	assert.Equal(t, len(a.setDown()), 2)
+	assert.Equal(t, len(a.markDown()), 2)
 	assert.Assert(t, a.offer(queuedRun("z", 0), 1, time.Minute).down)
-	assert.Equal(t, a.crashed(), 1, "two were on the endpoint when it went down")
-	a.leave(runs[0])
-	assert.Equal(t, a.crashed(), 1, "the second counts those that were there at the first")
-	a.up()
+	assert.Equal(t, a.recordCrash(), 1, "two calls were on the endpoint when it went down")
+	a.remove(runs[0])
+	assert.Equal(t, a.recordCrash(), 1, "the second lost call reports the number at the first")
+	a.markUp()
 	assert.Assert(t, a.offer(queuedRun("z", 0), 1, time.Minute).started)
 }
 
@@ -161,7 +162,7 @@
 	for i := range 3 * windowSize {
 		w.add(time.Duration(i) * time.Millisecond)
 	}
-	w.refresh()
+	w.refreshQuantiles()
 	assert.Equal(t, w.p50, time.Duration(2*windowSize+windowSize/2)*time.Millisecond)
 	assert.Equal(t, w.p95, time.Duration(2*windowSize+windowSize*95/100)*time.Millisecond)
 }
--- a/agent/core_race_test.go
+++ b/agent/core_race_test.go
@@ -15,8 +15,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// crowd carries out one core's effects on many threads.
-type crowd struct {
+// concurrentHarness executes one core's effects in many goroutines.
+type concurrentHarness struct {
 	core    *Core
 	wg      sync.WaitGroup
 	mu      sync.Mutex
@@ -24,7 +24,7 @@
 	replies map[Token]int
 }
 
-func (c *crowd) do(list []Effect) {
+func (c *concurrentHarness) do(list []Effect) {
 	for _, e := range list {
 		switch e := e.(type) {
 		case Start:
@@ -38,7 +38,7 @@
 	}
 }
 
-func (c *crowd) run(run *Run) {
+func (c *concurrentHarness) run(run *Run) {
 	defer c.wg.Done()
 	call, ok, list := c.core.Commit(testStart, run)
 	c.do(list)
@@ -56,13 +56,14 @@
 	c.do(c.core.Finish(testStart, run, endpoint.Result{Output: json.RawMessage(call.ID)}, err))
 }
 
-// Many entries send, send again, revoke and hang up at once. Whatever the
-// threads do to each other, no order starts twice and nobody waits for ever.
-func TestManyThreads(t *testing.T) {
+// Many entries send, resend, revoke and disconnect concurrently. However the
+// goroutines interleave, no order may start twice and every arrival must get a
+// reply.
+func TestConcurrentEvents(t *testing.T) {
 	core := NewCore(CoreConfig{Process: wire.Process{Name: "agent-1", Incarnation: "i1"}, Endpoint: "ep-1", Pool: "orders", Start: testStart.Add(-time.Hour)})
 	core.Configure(testStart, testBundle(1))
-	c := &crowd{core: core, starts: make(map[string]int), replies: make(map[Token]int)}
-	b := bench{now: testStart}
+	c := &concurrentHarness{core: core, starts: make(map[string]int), replies: make(map[Token]int)}
+	b := coreHarness{now: testStart}
 	const workers, rounds = 8, 400
 	for w := range workers {
 		c.wg.Add(1)
@@ -78,7 +79,7 @@
 					_, list := core.Revoke(testStart, wire.Revoke{ID: call.ID, Until: call.Deadline, Incarnation: "i1"})
 					c.do(list)
 				case 1:
-					c.do(core.Gone(testStart, token, call.ID))
+					c.do(core.Disconnected(testStart, token, call.ID))
 				}
 				core.Report()
 				if i%50 == 0 {
--- a/agent/core_reply_test.go
+++ b/agent/core_reply_test.go
@@ -12,9 +12,10 @@
 )
 
 // An endpoint answers one call with another call's reply. The call is lost, but
-// the endpoint lives: when this was taken for a crash, every call in its queue
-// was refused, and a burst of such replies left a fifth of the callers answered.
-func TestMalformedReplyIsNoCrash(t *testing.T) {
+// the endpoint is up. When this was treated as a crash, every queued call was
+// refused, and during a burst of such replies only a fifth of the callers got
+// an answer.
+func TestMalformedReplyIsNotACrash(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cause error
@@ -24,7 +25,7 @@
 		{"connection cut", errors.New("connection reset"), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, CoreConfig{})
+			b := newCoreHarness(t, CoreConfig{})
 			token := b.send(b.order("k", 1))
 			b.finish(b.commit(), &endpoint.Error{Written: true, Lost: true, Err: c.cause})
 			got, ok := b.replies[token]
--- a/agent/core_revoke.go
+++ b/agent/core_revoke.go
@@ -8,73 +8,77 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Revoke stops a call or bars it. Its answer "not run" is a promise: neither
-// the call nor a copy of it that is still on its way will be written.
+// Revoke stops a call, or prevents it from running if it has not arrived. The
+// answer "not run" promises that neither the call nor a copy of it that is
+// still in transit will be written to the endpoint.
 func (c *Core) Revoke(now time.Time, r wire.Revoke) (wire.RevokeResult, []Effect) {
 	var fx effects
 	c.observe(now, &fx)
-	set := c.settings.Load()
-	state, cost := c.revoke(now, set, r, &fx)
+	conf := c.settings.Load()
+	state, cost := c.revoke(now, conf, r, &fx)
 	if state == wire.RevokedNotRun {
-		state = c.otherSending(now, set, r)
+		state = c.checkOtherSubmissions(now, conf, r)
 	}
 	call := wire.StageCall{ID: r.ID}
-	fact := c.fact(now, &call, ledger.KindRevoked)
-	fact.Detail = string(state)
-	fact.Cost = cost
+	event := c.ledgerRecord(now, &call, ledger.KindRevoked)
+	event.Detail = string(state)
+	event.Cost = cost
 	if state == wire.RevokedNotRun {
-		fact.State = api.StageNotRun
+		event.State = api.StageNotRun
 	}
-	fx.add(Keep{fact})
-	c.decide(&fx, &call, VerdictRevoked, api.ReasonRevoked, string(state))
+	fx.add(AddRecord{event})
+	c.addDecision(&fx, &call, VerdictRevoked, api.ReasonRevoked, string(state))
 	return wire.RevokeResult{State: state, Cost: cost}, fx.list
 }
 
-func (c *Core) revoke(now time.Time, set *settings, r wire.Revoke, fx *effects) (wire.RevokeState, time.Duration) {
-	if c.tooOldToTell(now, set, r) {
+func (c *Core) revoke(now time.Time, conf *settings, r wire.Revoke, fx *effects) (wire.RevokeState, time.Duration) {
+	if c.noteMayBeGone(now, conf, r) {
 		note, seen := c.calls.get(r.ID)
 		if !seen {
 			return wire.RevokedUnknown, 0
 		}
 		return c.revokeSeen(now, r.ID, note, fx)
 	}
-	f := fateNotRun
-	if !c.vouches(set, r) {
-		f = fateUnknown
+	f := outcomeNotRun
+	if !c.canProveNotRun(conf, r) {
+		f = outcomeUnknown
 	}
-	note, seen := c.calls.tombstone(now, r.ID, f, set.noteUntil(r.Until))
+	note, seen := c.calls.addTombstone(now, r.ID, f, conf.noteExpiry(r.Until))
 	if seen {
 		return c.revokeSeen(now, r.ID, note, fx)
 	}
-	return stateOf(f), 0
+	return revokeStateOf(f), 0
 }
 
-// tooOldToTell: a call is remembered until its deadline and a while longer, so
-// a missing note proves nothing after that.
-func (c *Core) tooOldToTell(now time.Time, set *settings, r wire.Revoke) bool {
+// noteMayBeGone reports whether a missing note proves nothing about the call. A
+// call is remembered only until some time after its deadline.
+func (c *Core) noteMayBeGone(now time.Time, conf *settings, r wire.Revoke) bool {
 	left := r.Until.Sub(now)
-	return left < -set.skew || left > maxCallLife
+	return left < -conf.skew || left > maxTimeToDeadline
 }
 
-// vouches tells whether a call that this process has not seen cannot have run
-// in an earlier process on this endpoint. The failure: an agent runs a call,
-// dies and is started again; the entry, having lost the connection, revokes,
-// and the new process has indeed never seen the call. If the entry does not
-// name the incarnation that it wrote to, only the call's age can tell: one that
-// was accepted after this process began cannot have reached its predecessor.
-func (c *Core) vouches(set *settings, r wire.Revoke) bool {
+// canProveNotRun reports whether a call that this process has not received
+// cannot have run in an earlier process on this endpoint.
+//
+// It guards against this failure: an agent runs a call, dies and is restarted;
+// the entry, having lost the connection, revokes the call, and the new process
+// has never received it. If the entry does not name the incarnation that it
+// wrote to, only the call's age can tell: a call that was accepted after this
+// process started cannot have reached its predecessor.
+func (c *Core) canProveNotRun(conf *settings, r wire.Revoke) bool {
 	if r.Incarnation != "" {
 		return r.Incarnation == c.cfg.Process.Incarnation
 	}
-	accepted := r.Until.Add(-set.longest)
-	return accepted.After(c.cfg.Start.Add(set.skew))
+	accepted := r.Until.Add(-conf.maxDeadline)
+	return accepted.After(c.cfg.Start.Add(conf.skew))
 }
 
-// otherSending answers for a call that did not run and is barred. Another
-// sending of its identity may have run, and a caller who is told "not run" of
-// its order would place it anew. Without an identity the request ID is taken
-// for one, which it is unless the caller chose a key.
-func (c *Core) otherSending(now time.Time, set *settings, r wire.Revoke) wire.RevokeState {
+// checkOtherSubmissions returns the revoke state of a call that did not run and
+// is now blocked. Another submission of its identity may have run, and a client
+// that is told "not run" about its order would place it anew. Without an
+// identity the request ID is used in its place, which is correct unless the
+// client chose an idempotency key.
+func (c *Core) checkOtherSubmissions(now time.Time, conf *settings, r wire.Revoke) wire.RevokeState {
 	call := wire.StageCall{
 		ID:           r.ID,
 		Identity:     r.Identity,
@@ -86,19 +90,19 @@
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	if rec := shard.records[keyOf(&call)]; rec != nil {
-		return revokedState(rec)
+		return recordRevokeState(rec)
 	}
-	identified := call.Unrepeatable && malformed(now, &call) == nil
+	identified := call.Unrepeatable && validateCall(now, &call) == nil
 	if !identified {
 		return wire.RevokedNotRun
 	}
-	if reject := c.mayHaveRun(now, set, shard, &call); reject != nil && reject.status == wire.StatusUnknown {
+	if reject := c.checkEarlierRun(now, conf, shard, &call); reject != nil && reject.status == wire.StatusUnknown {
 		return wire.RevokedUnknown
 	}
 	return wire.RevokedNotRun
 }
 
-func revokedState(rec *record) wire.RevokeState {
+func recordRevokeState(rec *record) wire.RevokeState {
 	switch rec.state {
 	case recordLost:
 		return wire.RevokedUnknown
@@ -109,43 +113,44 @@
 	}
 }
 
+// revokeSeen revokes a call that has a note.
 func (c *Core) revokeSeen(now time.Time, id wire.CallID, note callNote, fx *effects) (wire.RevokeState, time.Duration) {
 	if note.run == nil {
-		return stateOf(note.fate), 0
+		return revokeStateOf(note.outcome), 0
 	}
 	run := note.run
 	run.shard.mu.Lock()
 	defer run.shard.mu.Unlock()
 	switch run.phase {
 	case phaseEnded:
-		if run.ran {
+		if run.mayHaveRun {
 			return wire.RevokedDone, run.cost
 		}
 		return wire.RevokedNotRun, 0
 	case phaseRunning:
 		deadline := run.deadline()
-		c.leaveRunning(now, run, api.ReasonRevoked, func(w *waiter) bool { return w.id == id }, fx)
-		c.abandon(now, run, deadline, api.ReasonRevoked, fx)
-		return wire.RevokedRunning, c.admission.charge(run, now.Sub(run.started))
+		c.detachWaiters(now, run, api.ReasonRevoked, func(w *waiter) bool { return w.id == id }, fx)
+		c.cancelIfAbandoned(now, run, deadline, api.ReasonRevoked, fx)
+		return wire.RevokedRunning, c.admission.incompleteCost(run, now.Sub(run.started))
 	default:
 		return c.revokeWaiting(now, run, id, fx), 0
 	}
 }
 
-func stateOf(f fate) wire.RevokeState {
+func revokeStateOf(f outcome) wire.RevokeState {
 	switch f {
-	case fateNotRun:
+	case outcomeNotRun:
 		return wire.RevokedNotRun
-	case fateRan:
+	case outcomeReplayed:
 		return wire.RevokedDone
 	default:
 		return wire.RevokedUnknown
 	}
 }
 
-// revokeWaiting takes a call out of the queue. If another sending of the same
-// identity waits for the same run, the run goes on, and it would be false to
-// say that the call's request did not run.
+// revokeWaiting revokes a call whose run is not written yet. If another
+// submission of the same identity waits for the same run, the run continues,
+// and it would be false to say that the call's request did not run.
 func (c *Core) revokeWaiting(now time.Time, run *Run, id wire.CallID, fx *effects) wire.RevokeState {
 	others := 0
 	for _, w := range run.waiters {
@@ -155,19 +160,19 @@
 	}
 	if others == 0 {
 		c.refuseLocked(now, run, refused(api.ReasonRevoked, ""), fx)
-		c.calls.bury(id)
+		c.calls.markNotRun(id)
 		return wire.RevokedNotRun
 	}
 	reject := unknown(api.ReasonRevoked, "another sending of the identity goes on")
-	run.drop(func(w *waiter) bool { return w.id == id }, func(w waiter) {
-		c.answer(w.token, w.id, reject, fx)
-		c.keepWaiter(now, run, w, reject.status, reject.reason, fx)
+	run.removeWaiters(func(w *waiter) bool { return w.id == id }, func(w waiter) {
+		c.replyRefusal(w.token, w.id, reject, fx)
+		c.ledgerWaiter(now, run, w, reject.status, reject.reason, fx)
 	})
 	return wire.RevokedUnknown
 }
 
-// drop removes the waiters that match and calls answer for each.
-func (r *Run) drop(match func(*waiter) bool, answer func(waiter)) {
+// removeWaiters removes the waiters that match and calls answer for each.
+func (r *Run) removeWaiters(match func(*waiter) bool, answer func(waiter)) {
 	kept := r.waiters[:0]
 	for i := range r.waiters {
 		if match(&r.waiters[i]) {
@@ -179,23 +184,25 @@
 	r.waiters = kept
 }
 
-// leaveRunning answers waiters that do not stay for the end of a run that is
-// on the endpoint: it was written, and its result is not known to them.
-func (c *Core) leaveRunning(now time.Time, run *Run, reason api.Reason, match func(*waiter) bool, fx *effects) {
-	run.drop(match, func(w waiter) {
-		took := now.Sub(run.started)
+// detachWaiters removes the waiters that match from a run on the endpoint, and
+// answers them with wire.StatusLost: the call was written, and its result is
+// not known yet.
+func (c *Core) detachWaiters(now time.Time, run *Run, reason api.Reason, match func(*waiter) bool, fx *effects) {
+	run.removeWaiters(match, func(w waiter) {
+		duration := now.Sub(run.started)
 		fx.add(Reply{Token: w.token, Result: wire.StageResult{
 			ID:     w.id,
 			Status: wire.StatusLost,
 			Reason: reason,
 			Queued: run.started.Sub(run.received),
-			Ran:    took,
-			Cost:   c.admission.charge(run, took),
+			Ran:    duration,
+			Cost:   c.admission.incompleteCost(run, duration),
 		}})
-		c.keepWaiter(now, run, w, wire.StatusLost, reason, fx)
+		c.ledgerWaiter(now, run, w, wire.StatusLost, reason, fx)
 	})
 }
 
+// cancel cancels a run on the endpoint, at most once.
 func (c *Core) cancel(run *Run, reason api.Reason, fx *effects) {
 	if run.cancelled != "" {
 		return
@@ -204,19 +211,20 @@
 	fx.add(Cancel{Run: run})
 }
 
-// Expire takes the deadline of one arrival.
+// Expire processes the deadline of one arrival.
 func (c *Core) Expire(now time.Time, token Token, id wire.CallID) []Effect {
-	return c.depart(now, token, id, api.ReasonDeadline)
+	return c.removeArrival(now, token, id, api.ReasonDeadline)
 }
 
-// Gone takes the end of the connection on which an arrival came.
-func (c *Core) Gone(now time.Time, token Token, id wire.CallID) []Effect {
-	return c.depart(now, token, id, api.ReasonCallerGone)
+// Disconnected processes the end of the connection that one arrival came from.
+func (c *Core) Disconnected(now time.Time, token Token, id wire.CallID) []Effect {
+	return c.removeArrival(now, token, id, api.ReasonCallerGone)
 }
 
-// depart removes one waiter. A run that nobody waits for is taken out of the
-// queue or abandoned.
-func (c *Core) depart(now time.Time, token Token, id wire.CallID, reason api.Reason) []Effect {
+// removeArrival removes one waiter from its run. A run without waiters is
+// removed from the queue, or handled by cancelIfAbandoned if it is on the
+// endpoint.
+func (c *Core) removeArrival(now time.Time, token Token, id wire.CallID, reason api.Reason) []Effect {
 	var fx effects
 	c.observe(now, &fx)
 	note, seen := c.calls.get(id)
@@ -227,48 +235,50 @@
 	run.shard.mu.Lock()
 	defer run.shard.mu.Unlock()
 	match := func(w *waiter) bool { return w.token == token }
-	if !run.awaitedBy(token) || run.phase == phaseEnded {
+	if !run.hasWaiter(token) || run.phase == phaseEnded {
 		return fx.list
 	}
 	if run.phase == phaseWaiting {
-		c.departWaiting(now, run, match, reason, &fx)
+		c.removeQueuedArrival(now, run, match, reason, &fx)
 		return fx.list
 	}
 	deadline := run.deadline()
-	c.leaveRunning(now, run, reason, match, &fx)
-	c.decide(&fx, &run.call, VerdictExpired, reason, "")
-	c.abandon(now, run, deadline, reason, &fx)
+	c.detachWaiters(now, run, reason, match, &fx)
+	c.addDecision(&fx, &run.call, VerdictExpired, reason, "")
+	c.cancelIfAbandoned(now, run, deadline, reason, &fx)
 	return fx.list
 }
 
-// abandon ends a run that nobody waits for any more. An unrepeatable one goes
-// on to its end, so that the caller, who will ask again, finds the result
-// instead of something that may or may not have happened.
-func (c *Core) abandon(now time.Time, run *Run, deadline time.Time, reason api.Reason, fx *effects) {
+// cancelIfAbandoned cancels a run that has no more waiters. An unrepeatable run
+// may continue for unrepeatableGrace after deadline, so that a client that
+// resends the request finds the result instead of an unknown outcome.
+func (c *Core) cancelIfAbandoned(now time.Time, run *Run, deadline time.Time, reason api.Reason, fx *effects) {
 	switch {
 	case len(run.waiters) > 0:
 	case run.call.Unrepeatable:
-		fx.add(CancelTimer{Run: run, At: laterOf(now, deadline).Add(finishGrace)})
+		fx.add(CancelTimer{Run: run, At: laterOf(now, deadline).Add(unrepeatableGrace)})
 	default:
 		c.cancel(run, reason, fx)
 	}
 }
 
-func (c *Core) departWaiting(now time.Time, run *Run, match func(*waiter) bool, reason api.Reason, fx *effects) {
+// removeQueuedArrival removes one waiter from a run that is not written yet,
+// and refuses the run if it was the only one.
+func (c *Core) removeQueuedArrival(now time.Time, run *Run, match func(*waiter) bool, reason api.Reason, fx *effects) {
 	if len(run.waiters) == 1 {
 		reject := refused(reason, "its time ran out in the queue")
-		reject.retryAfter = c.admission.drainTime()
+		reject.retryAfter = c.admission.newArrivalWait()
 		c.refuseLocked(now, run, reject, fx)
 		return
 	}
 	reject := unknown(reason, "another sending of the identity goes on")
-	run.drop(match, func(w waiter) {
-		c.answer(w.token, w.id, reject, fx)
-		c.keepWaiter(now, run, w, reject.status, reject.reason, fx)
+	run.removeWaiters(match, func(w waiter) {
+		c.replyRefusal(w.token, w.id, reject, fx)
+		c.ledgerWaiter(now, run, w, reject.status, reject.reason, fx)
 	})
 }
 
-func (r *Run) awaitedBy(token Token) bool {
+func (r *Run) hasWaiter(token Token) bool {
 	for _, w := range r.waiters {
 		if w.token == token {
 			return true
@@ -277,8 +287,9 @@
 	return false
 }
 
-// CancelLate cancels a run whose last chance to end by itself has passed.
-func (c *Core) CancelLate(now time.Time, run *Run) []Effect {
+// CancelOverdue cancels a run that still has no waiters when its grace period
+// ends.
+func (c *Core) CancelOverdue(now time.Time, run *Run) []Effect {
 	var fx effects
 	c.observe(now, &fx)
 	run.shard.mu.Lock()
@@ -289,13 +300,13 @@
 	return fx.list
 }
 
-// Peek says whether an identity ran a stage here. "Never" needs proof: the
-// stage is one whose every run is remembered, and this process would have been
-// the one to run it.
+// Peek says whether an identity ran a stage here. PeekNever needs proof: every
+// run of the stage is remembered, and this process is the one that would have
+// run it.
 func (c *Core) Peek(now time.Time, p wire.Peek) (wire.PeekState, []Effect) {
 	var fx effects
 	c.observe(now, &fx)
-	set := c.settings.Load()
+	conf := c.settings.Load()
 	call := wire.StageCall{
 		ID:           wire.CallID{Request: p.Identity.Value, Stage: p.Stage},
 		Identity:     p.Identity,
@@ -308,20 +319,21 @@
 	if rec := shard.records[keyOf(&call)]; rec != nil {
 		return peekState(rec.state), fx.list
 	}
-	provable := set.unrepeatable[p.Stage] && c.owns(set, &call) && c.misboundForPeek(&call) == nil
-	if !provable || c.mayHaveRun(now, set, shard, &call) != nil || !c.fenceOff(now, set, shard, &p) {
+	provable := conf.unrepeatable[p.Stage] && c.owns(conf, &call) && c.checkBindingForPeek(&call) == nil
+	if !provable || c.checkEarlierRun(now, conf, shard, &call) != nil || !c.addFence(now, conf, shard, &p) {
 		return wire.PeekUnknown, fx.list
 	}
 	return wire.PeekNever, fx.list
 }
 
-// misboundForPeek is strict also for minted IDs: the question is whether the
-// stage ran at all, and the process it was bound to may have run it.
-func (c *Core) misboundForPeek(call *wire.StageCall) *refusal {
+// checkBindingForPeek applies checkBinding to minted IDs too, with any refusal
+// meaning that there is no proof: the question is whether the stage ran at all,
+// and the process that the ID is bound to may have run it.
+func (c *Core) checkBindingForPeek(call *wire.StageCall) *refusal {
 	if call.Identity.Kind == wire.IdentityKey {
 		return nil
 	}
-	return c.misbound(call)
+	return c.checkBinding(call)
 }
 
 func peekState(s recordState) wire.PeekState {
--- a/agent/core_run.go
+++ b/agent/core_run.go
@@ -12,26 +12,26 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Commit is the last check, immediately before the run is written to the
-// endpoint; ok is false if it must not be. Between the start and this point
-// the process may have been stopped, the deadline may have passed and the call
-// may have been revoked. Once Commit said yes, the call may have run, and
-// nothing the core says afterwards denies it.
+// Commit is the last check immediately before a run is written to the endpoint;
+// ok is false if it must not be written. Since the run was given a slot, the
+// process may have been paused, the deadline may have passed and the call may
+// have been revoked. After Commit returned true the call may have run, and no
+// later answer of the core says that it did not.
 func (c *Core) Commit(now time.Time, run *Run) (call endpoint.Call, ok bool, list []Effect) {
 	var fx effects
-	view := c.observe(now, &fx)
+	status := c.observe(now, &fx)
 	run.shard.mu.Lock()
 	defer run.shard.mu.Unlock()
 	switch {
 	case run.phase != phaseWaiting:
 		return endpoint.Call{}, false, fx.list
-	case view.epoch != run.epoch:
+	case status.epoch != run.epoch:
 		c.refuseLocked(now, run, refused(api.ReasonPaused, "the agent was stopped before the call was written"), &fx)
 		return endpoint.Call{}, false, fx.list
 	case elapsed(run.deadline(), now) >= 0:
 		c.refuseLocked(now, run, refused(api.ReasonDeadline, "the deadline passed before the call was written"), &fx)
 		return endpoint.Call{}, false, fx.list
-	case c.admission.hopeless(run.deadline().Sub(now)):
+	case c.admission.tooLateToStart(run.deadline().Sub(now)):
 		c.refuseLocked(now, run, refused(api.ReasonDeadline, "too little time was left after the queue"), &fx)
 		return endpoint.Call{}, false, fx.list
 	}
@@ -40,35 +40,36 @@
 	if run.record != nil {
 		run.record.state = recordCommitted
 	}
-	fact := c.fact(now, &run.call, ledger.KindStarted)
-	fact.Took = now.Sub(run.received)
-	fx.add(Keep{fact})
-	c.decide(&fx, &run.call, VerdictStarted, "", "", now.Sub(run.received))
+	event := c.ledgerRecord(now, &run.call, ledger.KindStarted)
+	event.Took = now.Sub(run.received)
+	fx.add(AddRecord{event})
+	c.addDecision(&fx, &run.call, VerdictStarted, "", "", now.Sub(run.received))
 	return c.endpointCall(run), true, fx.list
 }
 
-// StoppedError is Recheck's refusal to let a committed call be written.
-type StoppedError struct{ Reason api.Reason }
+// NotWrittenError is returned by Recheck for a committed call that must not be
+// written.
+type NotWrittenError struct{ Reason api.Reason }
 
-// Error names the reason.
-func (e *StoppedError) Error() string { return "stopped before the write: " + string(e.Reason) }
+// Error returns a text that contains the reason.
+func (e *NotWrittenError) Error() string { return "stopped before the write: " + string(e.Reason) }
 
-// Recheck repeats the checks of Commit for a call that is committed but not
-// yet written, such as one that had to wait for a connection. An error means
-// that it must not be written.
+// Recheck repeats the checks of Commit for a call that is committed but not yet
+// written, such as one that had to wait for a connection. An error means that
+// it must not be written.
 func (c *Core) Recheck(now time.Time, run *Run) error {
-	view := c.pause.peek(now)
+	status := c.pause.check(now)
 	run.shard.mu.Lock()
 	defer run.shard.mu.Unlock()
 	switch {
-	case view.epoch != run.epoch || view.gap > 0:
-		return &StoppedError{Reason: api.ReasonPaused}
+	case status.epoch != run.epoch || status.gap > 0:
+		return &NotWrittenError{Reason: api.ReasonPaused}
 	case run.cancelled != "":
-		return &StoppedError{Reason: run.cancelled}
+		return &NotWrittenError{Reason: run.cancelled}
 	case len(run.waiters) == 0:
-		return &StoppedError{Reason: api.ReasonCallerGone}
+		return &NotWrittenError{Reason: api.ReasonCallerGone}
 	case elapsed(run.deadline(), now) >= 0:
-		return &StoppedError{Reason: api.ReasonDeadline}
+		return &NotWrittenError{Reason: api.ReasonDeadline}
 	default:
 		return nil
 	}
@@ -79,7 +80,7 @@
 	return endpoint.Call{
 		ID:           call.ID.String(),
 		Stage:        call.ID.Stage,
-		Model:        c.settings.Load().models[stageName{call.Pipeline, call.ID.Stage}],
+		Model:        c.settings.Load().models[stageKey{call.Pipeline, call.ID.Stage}],
 		Unrepeatable: call.Unrepeatable,
 		Stream:       call.Stream,
 		MaxTokens:    call.MaxTokens,
@@ -89,8 +90,9 @@
 	}
 }
 
-// Chunk passes on a piece of a streamed result. Calls that joined the run get
-// the complete result only: their stream would begin in the middle.
+// Chunk forwards a chunk of a streamed result to the arrival that started the
+// run. Arrivals that joined it receive only the complete result, because their
+// stream would begin in the middle.
 func (c *Core) Chunk(run *Run, seq int, text string) []Effect {
 	run.shard.mu.Lock()
 	defer run.shard.mu.Unlock()
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// Finish takes the end of a run. A nil error means a complete result.
+// Finish processes the end of a run. A nil err means a complete result.
 func (c *Core) Finish(now time.Time, run *Run, res endpoint.Result, err error) []Effect {
 	var fx effects
 	c.observe(now, &fx)
@@ -116,10 +118,10 @@
 		run.shard.mu.Unlock()
 		return fx.list
 	}
-	result, crashed := c.verdict(now, run, res, err)
-	c.conclude(now, run, result, &fx)
-	started := c.admission.finished(run, now.Sub(run.started), err == nil)
-	c.start(started, &fx)
+	result, crashed := c.classifyEnd(now, run, res, err)
+	c.endRun(now, run, result, &fx)
+	started := c.admission.finish(run, now.Sub(run.started), err == nil)
+	c.startRuns(started, &fx)
 	run.shard.mu.Unlock()
 	if crashed {
 		c.endpointDown(now, &fx)
@@ -127,27 +129,27 @@
 	return fx.list
 }
 
-// verdict maps the end of a run to the agent's word on it. Only an error that
-// proves that the endpoint did not run the call becomes a refusal. A run that
-// the agent itself cancelled says nothing of the endpoint's health.
-func (c *Core) verdict(now time.Time, run *Run, res endpoint.Result, err error) (result wire.StageResult, crashed bool) {
-	took := now.Sub(run.started)
+// classifyEnd maps the end of a run to a result. Only an error that proves that
+// the endpoint did not run the call becomes a refusal. crashed means that the
+// endpoint is down; a run that the agent itself cancelled does not show that.
+func (c *Core) classifyEnd(now time.Time, run *Run, res endpoint.Result, err error) (result wire.StageResult, crashed bool) {
+	duration := now.Sub(run.started)
 	result = wire.StageResult{
 		Queued: run.started.Sub(run.received),
-		Ran:    took,
+		Ran:    duration,
 	}
 	if err == nil {
 		result.Status = wire.StatusDone
 		result.Output = res.Output
 		result.Tokens = res.Tokens
-		result.Cost = took
+		result.Cost = duration
 		if res.Cost > 0 {
 			result.Cost = res.Cost
 		}
-		c.admission.complete(run, took, result.Cost)
+		c.admission.recordCost(run, duration, result.Cost)
 		return result, false
 	}
-	result.Cost = c.admission.charge(run, took)
+	result.Cost = c.admission.incompleteCost(run, duration)
 	result.Detail = err.Error()
 	var failure *endpoint.Error
 	if !errors.As(err, &failure) {
@@ -156,23 +158,23 @@
 	switch {
 	case failure.Refused:
 		result.Status, result.Reason = wire.StatusRefused, api.ReasonOverloaded
-		result.RetryAfter = c.admission.drainTime()
+		result.RetryAfter = c.admission.newArrivalWait()
 		result.Cost = 0
 	case !bool(failure.Written):
 		result.Status, result.Cost = wire.StatusRefused, 0
 		result.Reason = unwrittenReason(run, err)
-		result.RetryAfter = healthRetry
+		result.RetryAfter = downRetryAfter
 		crashed = result.Reason == api.ReasonNoEndpoint
 	case failure.Lost && run.cancelled != "":
 		result.Status, result.Reason = wire.StatusLost, run.cancelled
 	case failure.Lost && errorx.IsOfType(failure.Err, endpoint.ErrMalformed):
-		// The endpoint lives and answered, though not in the protocol. Taking
-		// that for a crash shows as a whole queue refused for one bad reply.
+		// The endpoint is up and answered, although not in the protocol. Treating
+		// this as a crash would refuse the whole queue for one malformed reply.
 		result.Status, result.Reason = wire.StatusLost, api.ReasonEndpointFailed
 	case failure.Lost:
 		result.Status, result.Reason = wire.StatusLost, api.ReasonEndpointLost
 		result.Crashed = true
-		result.Companions = c.admission.crashed()
+		result.Companions = c.admission.recordCrash()
 		crashed = true
 	default:
 		result.Status, result.Reason = wire.StatusFailed, api.ReasonEndpointFailed
@@ -180,10 +182,11 @@
 	return result, crashed
 }
 
-// unwrittenReason tells why a call was not written. Only an endpoint that
-// cannot be reached is down; a call that this process held back says nothing of it.
+// unwrittenReason returns why a call was not written. Only api.ReasonNoEndpoint
+// means that the endpoint is down; the other reasons come from this process and
+// say nothing about the endpoint.
 func unwrittenReason(run *Run, err error) api.Reason {
-	var stopped *StoppedError
+	var stopped *NotWrittenError
 	switch {
 	case errors.As(err, &stopped):
 		return stopped.Reason
@@ -198,43 +201,43 @@
 	}
 }
 
-// conclude ends a run and answers those that wait for it. The run's shard is locked.
-func (c *Core) conclude(now time.Time, run *Run, result wire.StageResult, fx *effects) {
+// endRun ends a run and answers its waiters. The run's shard is locked.
+func (c *Core) endRun(now time.Time, run *Run, result wire.StageResult, fx *effects) {
 	run.phase = phaseEnded
 	run.ended.Store(true)
-	run.ran = result.Status != wire.StatusRefused
+	run.mayHaveRun = result.Status != wire.StatusRefused
 	run.cost = result.Cost
-	c.settle(now, run, result)
+	c.updateRecord(now, run, result)
 	for _, w := range run.waiters {
 		own := result
 		own.ID = w.id
 		if w.joined {
 			own.Replayed = true
 			own.Queued, own.Ran, own.Cost = now.Sub(w.arrived), 0, 0
-			c.keepWaiter(now, run, w, result.Status, result.Reason, fx)
+			c.ledgerWaiter(now, run, w, result.Status, result.Reason, fx)
 		}
 		fx.add(Reply{Token: w.token, Result: own})
 	}
 	run.waiters = nil
-	c.keepEnd(now, run, result, fx)
+	c.ledgerEnd(now, run, result, fx)
 	run.call.Input, run.call.Previous = nil, nil
 }
 
-// settle updates the record of the run's identity.
-func (c *Core) settle(now time.Time, run *Run, result wire.StageResult) {
+// updateRecord updates the record of the run's identity.
+func (c *Core) updateRecord(now time.Time, run *Run, result wire.StageResult) {
 	rec := run.record
 	if rec == nil {
 		return
 	}
-	set := c.settings.Load()
-	until := laterOf(now, rec.keyTime).Add(set.retention + 2*set.skew)
+	conf := c.settings.Load()
+	until := laterOf(now, rec.keyTime).Add(conf.retention + 2*conf.skew)
 	switch {
 	case result.Status == wire.StatusDone:
-		run.shard.hold(rec, result, until, c.identities.limits)
-	case run.ran && rec.unrepeatable:
-		run.shard.lose(rec, until)
+		run.shard.storeResult(rec, result, until, c.identities.limits)
+	case run.mayHaveRun && rec.unrepeatable:
+		run.shard.markLost(rec, until)
 	default:
-		// Proved not to have run, or harmless to run again.
+		// The call provably did not run, or running it again is harmless.
 		run.shard.remove(rec)
 	}
 }
@@ -246,20 +249,21 @@
 	return a
 }
 
-// keepWaiter records what an arrival was told that is not the run's own call,
-// or that did not stay for its end.
-func (c *Core) keepWaiter(now time.Time, run *Run, w waiter, status wire.StageStatus, reason api.Reason, fx *effects) {
-	fact := c.fact(now, &run.call, ledger.KindFinished)
-	fact.Request, fact.Entry, fact.Attempt = w.id.Request, w.id.Entry, w.id.Attempt
-	fact.Reason = reason
-	fact.Took = now.Sub(w.arrived)
-	fact.State = stateAfter(status)
+// ledgerWaiter adds a ledger record for an arrival that joined a run or was
+// answered before its end.
+func (c *Core) ledgerWaiter(now time.Time, run *Run, w waiter, status wire.StageStatus, reason api.Reason, fx *effects) {
+	event := c.ledgerRecord(now, &run.call, ledger.KindFinished)
+	event.Request, event.Entry, event.Attempt = w.id.Request, w.id.Entry, w.id.Attempt
+	event.Reason = reason
+	event.Took = now.Sub(w.arrived)
+	event.State = stateAfter(status)
 	if w.joined {
-		fact.Detail = "waited for " + run.call.ID.String()
+		event.Detail = "waited for " + run.call.ID.String()
 	}
-	fx.add(Keep{fact})
+	fx.add(AddRecord{event})
 }
 
+// stateAfter returns the stage state that a status implies.
 func stateAfter(status wire.StageStatus) api.StageState {
 	switch status {
 	case wire.StatusDone:
@@ -273,19 +277,21 @@
 	}
 }
 
-func (c *Core) keepEnd(now time.Time, run *Run, result wire.StageResult, fx *effects) {
-	fact := c.fact(now, &run.call, ledger.KindFinished)
-	fact.Reason, fact.Detail = result.Reason, result.Detail
-	fact.Took, fact.Cost = result.Ran, result.Cost
-	fact.State = stateAfter(result.Status)
+// ledgerEnd adds the ledger record and the decision at the end of a run.
+func (c *Core) ledgerEnd(now time.Time, run *Run, result wire.StageResult, fx *effects) {
+	event := c.ledgerRecord(now, &run.call, ledger.KindFinished)
+	event.Reason, event.Detail = result.Reason, result.Detail
+	event.Took, event.Cost = result.Ran, result.Cost
+	event.State = stateAfter(result.Status)
 	if result.Status == wire.StatusRefused {
-		fact.Kind = ledger.KindRefused
+		event.Kind = ledger.KindRefused
 	}
-	fx.add(Keep{fact})
-	c.decide(fx, &run.call, verdictAfter(result.Status), result.Reason, result.Detail)
+	fx.add(AddRecord{event})
+	c.addDecision(fx, &run.call, decisionAfter(result.Status), result.Reason, result.Detail)
 }
 
-func verdictAfter(status wire.StageStatus) Verdict {
+// decisionAfter returns the verdict that a status implies.
+func decisionAfter(status wire.StageStatus) Verdict {
 	switch status {
 	case wire.StatusDone:
 		return VerdictDone
@@ -306,18 +312,19 @@
 		return
 	}
 	reject := refused(reason, "")
-	reject.retryAfter = c.admission.drainTime()
+	reject.retryAfter = c.admission.newArrivalWait()
 	c.refuseLocked(now, run, reject, fx)
 }
 
-// refuseLocked ends a run that was not written, and refuses all that wait for it.
+// refuseLocked ends a run that was not written and refuses its waiters. The
+// run's shard is locked.
 func (c *Core) refuseLocked(now time.Time, run *Run, reject *refusal, fx *effects) {
-	c.conclude(now, run, wire.StageResult{
+	c.endRun(now, run, wire.StageResult{
 		Status:     wire.StatusRefused,
 		Reason:     reject.reason,
 		Detail:     reject.detail,
 		RetryAfter: reject.retryAfter,
 		Queued:     now.Sub(run.received),
 	}, fx)
-	c.start(c.admission.leave(run), fx)
+	c.startRuns(c.admission.remove(run), fx)
 }
--- a/agent/core_settings.go
+++ b/agent/core_settings.go
@@ -9,81 +9,90 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// settings is what a bundle says to this agent; it is immutable.
+// settings are the parts of a bundle that concern this agent; they are
+// immutable.
 type settings struct {
 	version uint64
-	// start is when this process began.
+	// start is when this process started.
 	start time.Time
-	// pool is nil until a bundle names the agent's pool.
-	pool      *bundle.Pool
-	skew      time.Duration
+	// pool is the agent's pool; nil until a bundle contains it.
+	pool *bundle.Pool
+	// skew is the largest difference between two processes' clocks.
+	skew time.Duration
+	// retention is how long idempotency keys and their results are remembered.
 	retention time.Duration
-	// owners lists the slots in force over time, the oldest first.
-	owners []ownership
-	// longest is the longest deadline of a pipeline in any bundle so far.
-	longest time.Duration
-	// unrepeatable holds the names of stages on this pool that every pipeline
-	// calls unrepeatable.
+	// slotHistory lists the slot lists of this and earlier bundles, the oldest
+	// first.
+	slotHistory []ownership
+	// maxDeadline is the longest deadline of a pipeline in any bundle so far.
+	maxDeadline time.Duration
+	// unrepeatable holds the names of the stages on this pool that are
+	// unrepeatable in every pipeline.
 	unrepeatable map[string]bool
-	// models holds the engine's model for each pipeline and stage.
-	models map[stageName]string
+	// models holds the model on the endpoint for each pipeline and stage.
+	models map[stageKey]string
 }
 
 const (
-	// slotHandover is the longest time that the bundle's change of a slot list
-	// is expected to need to reach the earlier owner, which takes calls till then.
+	// slotHandover is how long a changed slot list is expected to take at most
+	// to reach the previous owner, which accepts calls until then.
 	slotHandover = 10 * time.Second
-	// maxOwners bounds the slot lists remembered. Forgetting an older one makes
-	// this process believe that it owns a key for a shorter time than it does.
-	maxOwners = 8
+	// maxSlotLists bounds the remembered slot lists. Without an older list this
+	// process assumes that it became the owner of a key later than it did,
+	// which is safe.
+	maxSlotLists = 8
 )
 
-// ownership is one slot list and the time from which this process can vouch
-// for the keys that it gives to its endpoint.
+// ownership is a slot list and the time from which this process is the only
+// owner of the keys that the list assigns to its endpoint.
 type ownership struct {
 	slots []string
 	since time.Time
 }
 
-// ownedSince is the time from which this process alone has owned an identity.
-// Each change of the slot list that gave it the identity restarts the time;
-// one that left it where it was does not. For an identity of another owner it
-// is the process's start: what ran here since then is remembered.
+// ownedSince returns the time from which this process alone has owned an
+// identity. A change of the slot list that assigned the identity to this
+// endpoint restarts the time; one that left the owner unchanged does not. For
+// an identity of another owner it is the start of this process: what ran here
+// since then is remembered.
 func (s *settings) ownedSince(self, identity, stage string) time.Time {
-	last := len(s.owners) - 1
+	last := len(s.slotHistory) - 1
 	since := s.start
 	for i := last; i >= 0; i-- {
-		if owner.Owner(s.owners[i].slots, identity, stage) != self {
+		if owner.Owner(s.slotHistory[i].slots, identity, stage) != self {
 			break
 		}
-		since = s.owners[i].since
+		since = s.slotHistory[i].since
 	}
 	return since
 }
 
-func (s *settings) nextOwners(now time.Time, slots []string) []ownership {
-	last := s.owners[len(s.owners)-1]
+// nextSlotHistory returns the history with slots appended if they have changed.
+func (s *settings) nextSlotHistory(now time.Time, slots []string) []ownership {
+	last := s.slotHistory[len(s.slotHistory)-1]
 	if slices.Equal(last.slots, slots) {
-		return s.owners
+		return s.slotHistory
 	}
-	owners := append(slices.Clone(s.owners), ownership{slots: slots, since: now.Add(slotHandover)})
-	if len(owners) > maxOwners {
-		owners = owners[len(owners)-maxOwners:]
+	owners := append(slices.Clone(s.slotHistory), ownership{slots: slots, since: now.Add(slotHandover)})
+	if len(owners) > maxSlotLists {
+		owners = owners[len(owners)-maxSlotLists:]
 	}
 	return owners
 }
 
-type stageName struct {
+// stageKey identifies a stage of a pipeline.
+type stageKey struct {
 	pipeline string
 	stage    string
 }
 
+// defaultSettings returns the settings before the first bundle.
 func defaultSettings(start time.Time) *settings {
 	return &settings{
-		start:     start,
-		skew:      bundle.DefaultMaxClockSkew.D(),
-		retention: bundle.DefaultKeyRetention.D(),
-		owners:    []ownership{{since: start}},
+		start:       start,
+		skew:        bundle.DefaultMaxClockSkew.D(),
+		retention:   bundle.DefaultKeyRetention.D(),
+		slotHistory: []ownership{{since: start}},
 	}
 }
 
@@ -95,24 +104,25 @@
 		pool:         b.Pool(pool),
 		skew:         b.Policy.MaxClockSkew.D(),
 		retention:    b.Policy.KeyRetention.D(),
-		longest:      s.longest,
+		maxDeadline:  s.maxDeadline,
 		unrepeatable: make(map[string]bool),
-		models:       make(map[stageName]string),
+		models:       make(map[stageKey]string),
 	}
-	n.owners = s.nextOwners(now, n.slots())
+	n.slotHistory = s.nextSlotHistory(now, n.slots())
 	if s.version == 0 {
-		// Before its first bundle the process owned nothing and ran nothing.
-		n.owners = []ownership{{slots: n.slots(), since: s.owners[0].since}}
+		// Before its first bundle the process owned nothing and ran nothing, so
+		// there is no handover to wait for.
+		n.slotHistory = []ownership{{slots: n.slots(), since: s.slotHistory[0].since}}
 	}
 	repeatable := make(map[string]bool)
 	for i := range b.Pipelines {
 		p := &b.Pipelines[i]
-		n.longest = max(n.longest, p.Deadline.D())
+		n.maxDeadline = max(n.maxDeadline, p.Deadline.D())
 		for _, stage := range p.Stages {
 			if stage.Pool != pool {
 				continue
 			}
-			n.models[stageName{p.Name, stage.Name}] = stage.Model
+			n.models[stageKey{p.Name, stage.Name}] = stage.Model
 			n.unrepeatable[stage.Name] = stage.Unrepeatable
 			repeatable[stage.Name] = repeatable[stage.Name] || !stage.Unrepeatable
 		}
@@ -130,8 +140,9 @@
 	return s.pool.Slots
 }
 
-// typical is the expected time of a stage of the pool until one was measured.
-func typical(b *bundle.Bundle, pool string) time.Duration {
+// typicalTime returns the expected time of a stage on the pool, used until run
+// times have been measured: the longest of its stages.
+func typicalTime(b *bundle.Bundle, pool string) time.Duration {
 	longest := bundle.DefaultTypical.D()
 	for i := range b.Pipelines {
 		for _, stage := range b.Pipelines[i].Stages {
@@ -143,14 +154,14 @@
 	return longest
 }
 
-// remaining is the time a call has left: the sooner of its absolute deadline,
-// allowing for the clocks' difference, and its budget from now on.
+// remaining returns the time a call has left: the time until its absolute
+// deadline plus the clock skew, or its relative budget if that is less.
 func (s *settings) remaining(now time.Time, call *wire.StageCall) time.Duration {
 	return min(call.Deadline.Add(s.skew).Sub(now), call.Budget)
 }
 
-// noteUntil is how long a call is remembered by its ID: while a copy of it may
-// be accepted, and a while longer.
-func (s *settings) noteUntil(deadline time.Time) time.Time {
+// noteExpiry returns the time until which a call is remembered by its ID. It is
+// one skew later than the time until which a copy may be accepted.
+func (s *settings) noteExpiry(deadline time.Time) time.Time {
 	return deadline.Add(2 * s.skew)
 }
--- a/agent/core_test.go
+++ b/agent/core_test.go
@@ -15,8 +15,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// bench drives one core by hand.
-type bench struct {
+// coreHarness drives one core event by event.
+type coreHarness struct {
 	t       *testing.T
 	core    *Core
 	now     time.Time
@@ -26,17 +26,17 @@
 	effects []Effect
 }
 
-func newBench(t *testing.T, cfg CoreConfig) *bench {
+func newCoreHarness(t *testing.T, cfg CoreConfig) *coreHarness {
 	cfg.Process = wire.Process{Name: "agent-1", Incarnation: "i1"}
 	cfg.Endpoint, cfg.Pool, cfg.Start = "ep-1", "orders", testStart
-	b := &bench{t: t, core: NewCore(cfg), now: testStart, replies: make(map[Token]wire.StageResult)}
+	b := &coreHarness{t: t, core: NewCore(cfg), now: testStart, replies: make(map[Token]wire.StageResult)}
 	b.do(b.core.Tick(b.now))
 	b.do(b.core.Configure(b.now, testBundle(1)))
-	b.pass(time.Second)
+	b.advance(time.Second)
 	return b
 }
 
-func (b *bench) do(list []Effect) {
+func (b *coreHarness) do(list []Effect) {
 	b.effects = append(b.effects, list...)
 	for _, e := range list {
 		switch e := e.(type) {
@@ -48,15 +48,15 @@
 	}
 }
 
-func (b *bench) pass(d time.Duration) {
+func (b *coreHarness) advance(d time.Duration) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(TickInterval)
 		b.do(b.core.Tick(b.now))
 	}
 }
 
-// order is a call for an unrepeatable stage; each has an ID of its own.
-func (b *bench) order(identity string, attempt int) wire.StageCall {
+// order returns a call for an unrepeatable stage, with a call ID of its own.
+func (b *coreHarness) order(identity string, attempt int) wire.StageCall {
 	return wire.StageCall{
 		ID:           wire.CallID{Request: fmt.Sprint(identity, "/", attempt), Stage: "place", Entry: "e", Attempt: attempt},
 		Identity:     wire.Identity{Kind: wire.IdentityKey, Value: identity, KeyTime: b.now, BodyHash: "body"},
@@ -69,13 +69,13 @@
 	}
 }
 
-func (b *bench) send(call wire.StageCall) Token {
+func (b *coreHarness) send(call wire.StageCall) Token {
 	b.token++
 	b.do(b.core.Arrive(b.now, b.token, call))
 	return b.token
 }
 
-func (b *bench) commit() *Run {
+func (b *coreHarness) commit() *Run {
 	run := b.runs[0]
 	b.runs = b.runs[1:]
 	_, ok, list := b.core.Commit(b.now, run)
@@ -84,11 +84,11 @@
 	return run
 }
 
-func (b *bench) finish(run *Run, err error) {
+func (b *coreHarness) finish(run *Run, err error) {
 	b.do(b.core.Finish(b.now, run, endpoint.Result{Output: json.RawMessage(`"made"`)}, err))
 }
 
-func (b *bench) expect(token Token, status wire.StageStatus, reason api.Reason) wire.StageResult {
+func (b *coreHarness) expect(token Token, status wire.StageStatus, reason api.Reason) wire.StageResult {
 	b.t.Helper()
 	got, ok := b.replies[token]
 	assert.Assert(b.t, ok, "no reply")
@@ -97,8 +97,8 @@
 	return got
 }
 
-func TestResendsMeet(t *testing.T) {
-	b := newBench(t, CoreConfig{})
+func TestResendsShareOneRun(t *testing.T) {
+	b := newCoreHarness(t, CoreConfig{})
 	call := b.order("k", 1)
 	first, second := b.send(call), b.send(b.order("k", 2))
 	other := b.order("k", 3)
@@ -106,7 +106,7 @@
 	b.expect(b.send(other), wire.StatusRefused, api.ReasonKeyConflict)
 	run := b.commit()
 	assert.Equal(t, len(b.runs), 0)
-	b.do(b.core.Gone(b.now, first, call.ID))
+	b.do(b.core.Disconnected(b.now, first, call.ID))
 	b.expect(first, wire.StatusLost, api.ReasonCallerGone)
 	b.finish(run, nil)
 	assert.Assert(t, b.expect(second, wire.StatusDone, "").Replayed)
@@ -116,7 +116,7 @@
 	b.expect(b.send(b.order("new", 1)), wire.StatusRefused, api.ReasonDraining)
 }
 
-func TestEndsOnTheEndpoint(t *testing.T) {
+func TestRunOutcomes(t *testing.T) {
 	cause := errors.New("broken")
 	tests := []struct {
 		name   string
@@ -130,13 +130,13 @@
 		{"lost", &endpoint.Error{Written: true, Lost: true, Err: cause}, wire.StatusLost, api.ReasonEndpointLost, wire.StatusUnknown, true},
 		{"failed", &endpoint.Error{Written: true, Err: cause}, wire.StatusFailed, api.ReasonEndpointFailed, wire.StatusUnknown, false},
 		{"not written", &endpoint.Error{Err: cause}, wire.StatusRefused, api.ReasonNoEndpoint, wire.StatusRefused, true},
-		{"held back", &endpoint.Error{Err: &StoppedError{api.ReasonPaused}}, wire.StatusRefused, api.ReasonPaused, "", false},
+		{"held back", &endpoint.Error{Err: &NotWrittenError{api.ReasonPaused}}, wire.StatusRefused, api.ReasonPaused, "", false},
 		{"refused", &endpoint.Error{Written: true, Refused: true, Err: cause}, wire.StatusRefused, api.ReasonOverloaded, "", false},
 		{"not an endpoint.Error", cause, wire.StatusLost, api.ReasonEndpointLost, wire.StatusUnknown, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, CoreConfig{})
+			b := newCoreHarness(t, CoreConfig{})
 			token, companion := b.send(b.order("k", 1)), b.send(b.order("l", 1))
 			run := b.commit()
 			b.commit()
@@ -155,10 +155,10 @@
 	}
 }
 
-// An operator's flood of orders fills the agent's memory. What it has promised
-// to remember must stay, so that new orders are refused and old ones replayed.
-func TestFullTablesRefuse(t *testing.T) {
-	b := newBench(t, CoreConfig{MaxUnrepeatable: shardCount, MaxCalls: 1 << 16})
+// A flood of orders fills the identity table. Records that must be kept may not
+// be evicted: new orders are refused and old ones are replayed.
+func TestFullIdentityTableRefusesNewCalls(t *testing.T) {
+	b := newCoreHarness(t, CoreConfig{MaxUnrepeatable: shardCount, MaxCalls: 1 << 16})
 	full := 0
 	for i := range 10 * shardCount {
 		token := b.send(b.order(fmt.Sprint("k", i), 1))
@@ -172,14 +172,15 @@
 	}
 	assert.Assert(t, full >= 9*shardCount)
 	assert.Equal(t, b.replies[b.send(b.order("k0", 2))].Status, wire.StatusDone)
-	b.pass(testRetention + 2*time.Second + shardCount*TickInterval)
-	assert.Equal(t, b.replies[b.send(b.order("fresh", 1))].Status, wire.StageStatus(""), "room comes back")
+	b.advance(testRetention + 2*time.Second + shardCount*TickInterval)
+	assert.Equal(t, b.replies[b.send(b.order("fresh", 1))].Status, wire.StageStatus(""), "expired records must make room")
 }
 
-// Entries revoke more calls than there is room for tombstones. Each was told
-// "not run"; if one tombstone were dropped, its call might still arrive and run.
-func TestFullTombstonesCloseTheShard(t *testing.T) {
-	b := newBench(t, CoreConfig{MaxCalls: shardCount})
+// Entries revoke more calls than there is room for tombstones. Each revocation
+// was answered "not run"; if a tombstone were dropped, its call could still
+// arrive and run.
+func TestFullCallTableRefusesNewCalls(t *testing.T) {
+	b := newCoreHarness(t, CoreConfig{MaxCalls: shardCount})
 	var calls []wire.StageCall
 	for i := range 4 * shardCount {
 		call := b.order(fmt.Sprint("k", i), 1)
@@ -192,13 +193,13 @@
 		assert.Equal(t, b.replies[b.send(call)].Status, wire.StatusRefused)
 	}
 	assert.Equal(t, len(b.runs), 0)
-	b.pass(4*time.Second + 4*testSkew)
+	b.advance(4*time.Second + 4*testSkew)
 	b.send(b.order("later", 1))
 	assert.Equal(t, len(b.runs), 1)
 }
 
 func TestRepeatableResultsAreBounded(t *testing.T) {
-	b := newBench(t, CoreConfig{MaxResults: 2 * shardCount})
+	b := newCoreHarness(t, CoreConfig{MaxResults: 2 * shardCount})
 	held := 0
 	for round := range 2 {
 		for i := range 10 * shardCount {
@@ -221,7 +222,7 @@
 }
 
 func TestOwnership(t *testing.T) {
-	b := newBench(t, CoreConfig{})
+	b := newCoreHarness(t, CoreConfig{})
 	two := testBundle(2)
 	two.Pools[0].Slots = []string{"ep-1", "ep-2"}
 	b.do(b.core.Configure(b.now, two))
@@ -235,20 +236,21 @@
 		}
 	}
 	b.expect(b.send(b.order(theirs, 1)), wire.StatusRefused, api.ReasonNotOwner)
-	b.finishOnly(b.send(b.order(mine, 1)))
+	b.expectDone(b.send(b.order(mine, 1)))
 	b.do(b.core.Configure(b.now, testBundle(3)))
 	b.expect(b.send(b.order(theirs, 2)), wire.StatusUnknown, api.ReasonOwnerRestarted)
-	b.finishOnly(b.send(b.order(mine, 2)))
+	b.expectDone(b.send(b.order(mine, 2)))
 	opaque := b.order(theirs, 3)
 	opaque.Identity.KeyTime = time.Time{}
 	got := b.expect(b.send(opaque), wire.StatusUnknown, api.ReasonOwnerRestarted)
 	assert.Equal(t, got.RetryAfter, slotHandover+testRetention)
-	b.pass(slotHandover + 3*testSkew)
-	b.finishOnly(b.send(b.order(theirs, 4)))
+	b.advance(slotHandover + 3*testSkew)
+	b.expectDone(b.send(b.order(theirs, 4)))
 }
 
-// finishOnly expects that the call did not get an immediate refusal.
-func (b *bench) finishOnly(token Token) {
+// expectDone finishes the run that has started, if any, and expects the result
+// or its replay.
+func (b *coreHarness) expectDone(token Token) {
 	b.t.Helper()
 	if len(b.runs) > 0 {
 		b.finish(b.commit(), nil)
@@ -257,7 +259,7 @@
 }
 
 func TestPeek(t *testing.T) {
-	b := newBench(t, CoreConfig{})
+	b := newCoreHarness(t, CoreConfig{})
 	peek := func(call wire.StageCall) wire.PeekState {
 		state, list := b.core.Peek(b.now, wire.Peek{Identity: call.Identity, Stage: call.ID.Stage})
 		b.do(list)
@@ -268,7 +270,7 @@
 	quote := call
 	quote.ID.Stage = "quote"
 	assert.Equal(t, peek(call), wire.PeekNever)
-	assert.Equal(t, peek(old), wire.PeekUnknown, "it may have run before this process began")
+	assert.Equal(t, peek(old), wire.PeekUnknown, "the stage may have run before this process started")
 	assert.Equal(t, peek(quote), wire.PeekUnknown, "results of repeatable stages may be forgotten")
 	b.send(call)
 	assert.Equal(t, peek(call), wire.PeekRunning)
@@ -276,15 +278,16 @@
 	assert.Equal(t, peek(call), wire.PeekDone)
 }
 
-// The VM list is stale: it shows the VM as leaving, then, read from an older
-// copy, as live. Work taken on that word would be cut when the VM goes.
-func TestLeavingIsSticky(t *testing.T) {
-	b := newBench(t, CoreConfig{})
+// The VM list shows the VM as leaving and then, read from a stale copy, as
+// live. A call accepted because of the stale copy would be cut off when the VM
+// is removed.
+func TestLeavingIsClearedAfterDelay(t *testing.T) {
+	b := newCoreHarness(t, CoreConfig{})
 	b.core.SetLeaving(b.now, true)
 	b.core.SetLeaving(b.now, false)
-	b.pass(leavingHold - time.Second)
+	b.advance(leavingClearDelay - time.Second)
 	b.expect(b.send(b.order("k", 1)), wire.StatusRefused, api.ReasonDraining)
 	assert.Assert(t, b.core.Report().Draining)
-	b.pass(2 * time.Second)
-	b.finishOnly(b.send(b.order("k", 2)))
+	b.advance(2 * time.Second)
+	b.expectDone(b.send(b.order("k", 2)))
 }
--- a/agent/core_window.go
+++ b/agent/core_window.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// windowSize is the number of recent times that quantiles are taken of.
+// windowSize is the number of recent run times that the quantiles are computed
+// from.
 const windowSize = 128
 
-// window holds the latest times on the endpoint. It is guarded by its owner.
+// window holds the latest run times on the endpoint. Its owner guards it.
 type window struct {
 	times []time.Duration
 	next  int
 	sum   time.Duration
-	// typical stands in until a time was measured.
-	typical  time.Duration
+	// typical is returned as the mean until a time has been measured.
+	typical time.Duration
+	// dirty means that times were added since the last refreshQuantiles.
 	dirty    bool
 	p50, p95 time.Duration
 }
@@ -38,8 +40,9 @@
 	return w.sum / time.Duration(len(w.times))
 }
 
-// refresh computes the quantiles; it is called on ticks and not for each reply.
-func (w *window) refresh() {
+// refreshQuantiles computes the quantiles. It runs once per tick and not for
+// each reply, because it sorts the window.
+func (w *window) refreshQuantiles() {
 	if !w.dirty {
 		return
 	}
--- a/agent/shell.go
+++ b/agent/execute.go
@@ -12,7 +12,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Event names of the agent's log lines.
+// Values of the "event" key in the agent's log lines.
 const (
 	logCall     = "call"
 	logPaused   = "paused"
@@ -26,14 +26,16 @@
 	reply chan wire.StageResult
 	timer *time.Timer
 
-	// mu orders the chunks of a stream before its final reply: whoever sends
-	// a chunk holds it, and the reply closes the stream under it.
-	mu     sync.Mutex
+	// mu orders the chunks of a stream before the final reply: it is held while
+	// a chunk is sent, and while the reply closes the stream.
+	mu sync.Mutex
+	// closed means that the final reply follows and no more chunks may be sent.
 	closed bool
 }
 
-// sendChunk writes one piece of the stream, unless the reply is on its way. If
-// the connection fails, its end takes care of the call.
+// sendChunk sends one chunk of the stream, unless the final reply is being
+// sent. A failed send is ignored, because the end of the connection ends the
+// call.
 func (s *arrivalState) sendChunk(chunk wire.StageChunk) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,14 +51,14 @@
 	s.closed = true
 }
 
-// do carries out the core's effects in order.
-func (a *Agent) do(list []Effect) {
+// execute executes the core's effects in order.
+func (a *Agent) execute(list []Effect) {
 	for _, e := range list {
-		a.doOne(e)
+		a.executeEffect(e)
 	}
 }
 
-func (a *Agent) doOne(e Effect) {
+func (a *Agent) executeEffect(e Effect) {
 	switch e := e.(type) {
 	case Start:
 		a.wg.Add(1)
@@ -66,16 +68,16 @@
 	case Reply:
 		a.deliver(e)
 	case SendChunk:
-		if s, ok := a.arrival(e.Token); ok {
+		if s, ok := a.arrivalByToken(e.Token); ok {
 			s.sendChunk(e.Chunk)
 		}
-	case Timer:
+	case ExpiryTimer:
 		a.setTimer(e)
 	case CancelTimer:
 		time.AfterFunc(e.At.Sub(a.cfg.Now()), func() {
-			a.do(a.core.CancelLate(a.cfg.Now(), e.Run))
+			a.execute(a.core.CancelOverdue(a.cfg.Now(), e.Run))
 		})
-	case Keep:
+	case AddRecord:
 		if a.cfg.Records != nil {
 			a.cfg.Records.Add(e.Record)
 		}
@@ -83,7 +85,7 @@
 		a.decisions.add(e)
 		a.logDecision(e)
 	case DropConnections:
-		a.log.Warn().Str("event", logPaused).Dur("gap", e.Gap).Msg("this process was stopped; dropping connections")
+		a.log.Warn().Str("event", logPaused).Dur("gap", e.Gap).Msg("process was paused; dropping connections")
 		if a.cfg.DropConnections != nil {
 			a.cfg.DropConnections()
 		}
@@ -94,8 +96,8 @@
 	}
 }
 
-func (a *Agent) arrival(token Token) (*arrivalState, bool) {
-	value, ok := a.waiting.Load(token)
+func (a *Agent) arrivalByToken(token Token) (*arrivalState, bool) {
+	value, ok := a.arrivals.Load(token)
 	if !ok {
 		return nil, false
 	}
@@ -104,13 +106,13 @@
 }
 
 func (a *Agent) deliver(r Reply) {
-	if s, ok := a.arrival(r.Token); ok {
+	if s, ok := a.arrivalByToken(r.Token); ok {
 		s.reply <- r.Result
 	}
 }
 
-func (a *Agent) setTimer(t Timer) {
-	s, ok := a.arrival(t.Token)
+func (a *Agent) setTimer(t ExpiryTimer) {
+	s, ok := a.arrivalByToken(t.Token)
 	if !ok {
 		return
 	}
@@ -120,7 +122,7 @@
 		return
 	}
 	s.timer = time.AfterFunc(t.At.Sub(a.cfg.Now()), func() {
-		a.do(a.core.Expire(a.cfg.Now(), t.Token, t.ID))
+		a.execute(a.core.Expire(a.cfg.Now(), t.Token, t.ID))
 	})
 }
 
@@ -134,8 +136,8 @@
 	}
 }
 
-// run takes one call to the endpoint and back. The context is registered
-// before Commit, because a cancellation may follow it at once.
+// run runs one call on the endpoint. The cancel function is registered before
+// Commit, because a cancellation may follow Commit at once.
 func (a *Agent) run(run *Run) {
 	defer a.wg.Done()
 	ctx, cancel := context.WithCancel(a.stopped)
@@ -144,22 +146,23 @@
 	defer a.cancels.Delete(run)
 	call, ok, list := a.core.Commit(a.cfg.Now(), run)
 	if !ok {
-		a.do(list)
+		a.execute(list)
 		return
 	}
-	// A log that blocks must not come between the last check and the write.
-	go a.do(list)
-	// A protocol that knows when it writes asks once more right before.
+	// Writing to the log may block and must not delay the write that follows
+	// the check.
+	go a.execute(list)
+	// A protocol that knows when it writes calls Recheck immediately before.
 	ctx = endpoint.WithGuard(ctx, func() error { return a.core.Recheck(a.cfg.Now(), run) })
 	result, err := a.cfg.Protocol.Run(ctx, call, func(seq int, text string) {
-		a.do(a.core.Chunk(run, seq, text))
+		a.execute(a.core.Chunk(run, seq, text))
 	})
-	a.do(a.core.Finish(a.cfg.Now(), run, result, err))
+	a.execute(a.core.Finish(a.cfg.Now(), run, result, err))
 }
 
-// routine are the decisions of a call that takes its course. All others refuse
-// it or end it without a result.
-var routine = map[Verdict]bool{
+// routineDecisions are the verdicts of calls that take their normal course. All
+// others refuse a call or end it without a result.
+var routineDecisions = map[Verdict]bool{
 	VerdictStarted:  true,
 	VerdictQueued:   true,
 	VerdictJoined:   true,
@@ -168,11 +171,11 @@
 }
 
 func (a *Agent) logDecision(d Decision) {
-	if a.cfg.RefusalsOnly && routine[d.Verdict] {
+	if a.cfg.RefusalsOnly && routineDecisions[d.Verdict] {
 		return
 	}
 	event := a.log.Info()
-	if !routine[d.Verdict] {
+	if !routineDecisions[d.Verdict] {
 		event = a.log.Warn()
 	}
 	event.Str("event", logCall).
--- a/agent/log_test.go
+++ b/agent/log_test.go
@@ -23,13 +23,13 @@
 			a := New(Config{Log: zerolog.New(&out), RefusalsOnly: only})
 			a.logDecision(Decision{Verdict: v, Reason: api.ReasonDeadline})
 			logged := strings.Contains(out.String(), `"event":"call","decision":"`+string(v)+`"`)
-			assert.Equal(t, logged, !only || !routine[v], "%s with refusals only %v", v, only)
-			assert.Equal(t, strings.Contains(out.String(), `"level":"warn"`), !routine[v], v)
+			assert.Equal(t, logged, !only || !routineDecisions[v], "%s with refusals only %v", v, only)
+			assert.Equal(t, strings.Contains(out.String(), `"level":"warn"`), !routineDecisions[v], v)
 		}
 	}
 }
 
-// BenchmarkLogDecision measures the line of one decision.
+// BenchmarkLogDecision measures logging one decision.
 func BenchmarkLogDecision(b *testing.B) {
 	for name, only := range map[string]bool{"all": false, "refusals": true} {
 		b.Run(name, func(b *testing.B) {
--- a/agent/methods.go
+++ b/agent/methods.go
@@ -24,19 +24,19 @@
 	peer.HandleCall(mux, wire.MethodStatus, a.status)
 }
 
-// runStage returns the agent's word on one call. Its connection's end is told
-// to the core, which decides whether the call goes on.
+// runStage runs one call and returns its result. If the connection ends first,
+// the core decides whether the call continues.
 func (a *Agent) runStage(_ context.Context, from *peer.Conn, call wire.StageCall) (wire.StageResult, error) {
 	token := Token(a.tokens.Add(1))
 	state := &arrivalState{conn: from, reply: make(chan wire.StageResult, 1)}
-	a.waiting.Store(token, state)
-	defer a.waiting.Delete(token)
-	a.do(a.core.Arrive(a.cfg.Now(), token, call))
+	a.arrivals.Store(token, state)
+	defer a.arrivals.Delete(token)
+	a.execute(a.core.Arrive(a.cfg.Now(), token, call))
 	var result wire.StageResult
 	select {
 	case result = <-state.reply:
 	case <-from.Done():
-		a.do(a.core.Gone(a.cfg.Now(), token, call.ID))
+		a.execute(a.core.Disconnected(a.cfg.Now(), token, call.ID))
 		result = <-state.reply
 	}
 	state.finish()
@@ -44,7 +44,7 @@
 	return result, nil
 }
 
-// finish ends the stream and the timer before the reply is written.
+// finish closes the stream and stops the timer before the reply is written.
 func (s *arrivalState) finish() {
 	s.closeStream()
 	if s.timer != nil {
@@ -54,14 +54,14 @@
 
 func (a *Agent) revoke(_ context.Context, _ *peer.Conn, r wire.Revoke) (wire.RevokeResult, error) {
 	result, list := a.core.Revoke(a.cfg.Now(), r)
-	a.do(list)
+	a.execute(list)
 	result.Report = a.core.Report()
 	return result, nil
 }
 
 func (a *Agent) peek(_ context.Context, _ *peer.Conn, p wire.Peek) (wire.PeekResult, error) {
 	state, list := a.core.Peek(a.cfg.Now(), p)
-	a.do(list)
+	a.execute(list)
 	return wire.PeekResult{State: state}, nil
 }
 
--- a/agent/vars.go
+++ b/agent/vars.go
@@ -7,13 +7,13 @@
 	"github.com/mangostage/mangostage/api"
 )
 
-// decisionKey counts decisions by verdict and reason.
+// decisionKey identifies a count of decisions by verdict and reason.
 type decisionKey struct {
-	verdict Verdict
-	reason  api.Reason
+	kind   Verdict
+	reason api.Reason
 }
 
-// decisionCounts are the agent's decisions since its start.
+// decisionCounts counts the agent's decisions since its start.
 type decisionCounts struct {
 	mu sync.Mutex
 	n  map[decisionKey]int64
@@ -28,13 +28,13 @@
 	c.n[decisionKey{d.Verdict, d.Reason}]++
 }
 
-// byName returns the counts under "verdict" or "verdict.reason".
+// byName returns the counts, keyed "verdict" or "verdict.reason".
 func (c *decisionCounts) byName() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	named := make(map[string]int64, len(c.n))
 	for key, n := range c.n {
-		name := string(key.verdict)
+		name := string(key.kind)
 		if key.reason != "" {
 			name += "." + string(key.reason)
 		}
