--- a/reqid/key.go
+++ b/reqid/key.go
@@ -7,13 +7,15 @@
 )
 
 const (
+	// maxKeyLen is the longest idempotency key in bytes.
 	maxKeyLen = 255
-	// uuidLen is the length of the hyphenated form, the only one read as a UUID.
+	// uuidLen is the length of the hyphenated form, the only form that is
+	// parsed as a UUID.
 	uuidLen     = 36
 	uuidVersion = 7
 )
 
-// ValidKey tells whether key may serve as an idempotency key: 1 to 255
+// ValidKey reports whether key may be used as an idempotency key: 1 to 255
 // printable ASCII characters.
 func ValidKey(key string) bool {
 	if len(key) == 0 || len(key) > maxKeyLen {
@@ -27,8 +29,8 @@
 	return true
 }
 
-// KeyTime returns the time inside a hyphenated UUID version 7, to the
-// millisecond, and the zero time for any other key.
+// KeyTime returns the time contained in a hyphenated UUID version 7, with
+// millisecond precision, and the zero time for any other key.
 func KeyTime(key string) time.Time {
 	if len(key) != uuidLen {
 		return time.Time{}
--- a/reqid/payload.go
+++ b/reqid/payload.go
@@ -8,7 +8,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// maxPairs bounds the bindings in a payload.
+// maxPairs bounds the number of bindings in a payload.
 const maxPairs = 16
 
 const (
@@ -16,6 +16,8 @@
 	kindHeld   = 2
 )
 
+// payload is the CBOR form of Fields. Times are in milliseconds since the Unix
+// epoch.
 type payload struct {
 	Entry    string             `cbor:"1,keyasint"`
 	Issued   int64              `cbor:"2,keyasint"`
@@ -27,6 +29,7 @@
 	Kind     int                `cbor:"8,keyasint"`
 }
 
+// binding is the CBOR form of wire.Binding.
 type binding struct {
 	Agent       string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
@@ -37,7 +40,8 @@
 	decMode = mustDecMode()
 )
 
-// mustEncMode panics only on an option value that the library doesn't know.
+// mustEncMode panics only if the library rejects an option, which would be a
+// programming error.
 func mustEncMode() cbor.EncMode {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -46,7 +50,8 @@
 	return mode
 }
 
-// mustDecMode panics only on an option value that the library doesn't know.
+// mustDecMode panics only if the library rejects an option, which would be a
+// programming error.
 func mustDecMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
@@ -63,6 +68,8 @@
 	return mode
 }
 
+// encode returns the CBOR payload of f, or ErrMalformed if f has a kind that a
+// request ID cannot have.
 func encode(f Fields) ([]byte, error) {
 	p := payload{
 		Entry:    f.Entry,
@@ -78,7 +85,7 @@
 	case wire.IdentityHeld:
 		p.Kind = kindHeld
 	default:
-		return nil, ErrMalformed.New("a request ID can't be of kind %q", f.Kind)
+		return nil, ErrMalformed.New("identity kind %q is not valid in a request ID", f.Kind)
 	}
 	if len(f.Bindings) > 0 {
 		p.Bindings = make(map[string]binding, len(f.Bindings))
@@ -89,10 +96,11 @@
 	return encMode.Marshal(p)
 }
 
+// decode parses a CBOR payload; its error is of type ErrMalformed.
 func decode(raw []byte) (Fields, error) {
 	var p payload
 	if err := decMode.Unmarshal(raw, &p); err != nil {
-		return Fields{}, ErrMalformed.New("the payload can't be read: %v", err)
+		return Fields{}, ErrMalformed.New("cannot decode the payload: %v", err)
 	}
 	f := Fields{
 		Entry:    p.Entry,
@@ -102,7 +110,7 @@
 		Expiry:   time.UnixMilli(p.Expiry),
 	}
 	if copy(f.Random[:], p.Random) != randomLen || len(p.Random) != randomLen {
-		return Fields{}, ErrMalformed.New("the payload holds no %d random bytes", randomLen)
+		return Fields{}, ErrMalformed.New("the payload does not have %d random bytes", randomLen)
 	}
 	switch p.Kind {
 	case kindMinted:
@@ -110,7 +118,7 @@
 	case kindHeld:
 		f.Kind = wire.IdentityHeld
 	default:
-		return Fields{}, ErrMalformed.New("the payload is of unknown kind %d", p.Kind)
+		return Fields{}, ErrMalformed.New("the payload has unknown kind %d", p.Kind)
 	}
 	if len(p.Bindings) > 0 {
 		f.Bindings = make(map[string]wire.Binding, len(p.Bindings))
--- a/reqid/reqid.go
+++ b/reqid/reqid.go
@@ -1,9 +1,9 @@
-// Package reqid makes and reads request IDs: signed tokens that carry who
-// issued them, when, for which client account and pipeline, and which agent
-// runs alone may execute the unrepeatable stages.
+// Package reqid issues and verifies request IDs: signed tokens that contain who
+// issued them, when, for which client account and pipeline, and which runs of
+// agents may execute the unrepeatable stages.
 //
-// Any process that holds the fleet's key can read an ID, so no state is shared
-// for it, and a caller can neither alter a binding nor invent one.
+// Any process that has the fleet's key can verify an ID, so request IDs need no
+// shared state, and a client can neither change a binding nor forge an ID.
 package reqid
 
 import (
@@ -20,9 +20,9 @@
 )
 
 const (
-	// MaxLen is the longest token in bytes.
+	// MaxLen is the length of the longest token in bytes.
 	MaxLen = 1 << 10
-	// MinKeyLen is the shortest key in bytes.
+	// MinKeyLen is the length of the shortest key in bytes.
 	MinKeyLen = 16
 
 	prefix    = "mr1."
@@ -33,34 +33,35 @@
 
 var (
 	errs = errorx.NewNamespace("reqid")
-	// ErrMalformed means that the text is no token of this format.
+	// ErrMalformed means that the text is not a token of this format.
 	ErrMalformed = errs.NewType("malformed")
 	// ErrBadMAC means that no key of the fleet signed the token.
 	ErrBadMAC = errs.NewType("bad_mac")
-	// ErrTooLong means that the text is over MaxLen.
+	// ErrTooLong means that the text is longer than MaxLen.
 	ErrTooLong = errs.NewType("too_long")
-	// ErrShortKey means that a key is under MinKeyLen.
+	// ErrShortKey means that a key is shorter than MinKeyLen.
 	ErrShortKey = errs.NewType("short_key")
 )
 
-// encoding refuses trailing bits, so that each token has one spelling.
+// encoding rejects non-zero trailing bits, so that each token has only one
+// encoding.
 var encoding = base64.RawURLEncoding.Strict()
 
-// Key is a secret that all processes of the fleet share.
+// Key is a secret shared by all processes of the fleet.
 type Key []byte
 
 // NewKey returns secret as a key, or ErrShortKey.
 func NewKey(secret []byte) (Key, error) {
 	if len(secret) < MinKeyLen {
-		return nil, ErrShortKey.New("a key needs %d bytes, this one has %d", MinKeyLen, len(secret))
+		return nil, ErrShortKey.New("a key must have at least %d bytes, this one has %d", MinKeyLen, len(secret))
 	}
 	return Key(secret), nil
 }
 
-// Random makes IDs of the same millisecond differ.
+// Random distinguishes IDs issued in the same millisecond.
 type Random [randomLen]byte
 
-// NewRandom draws from the system's source.
+// NewRandom returns bytes from the system's random source.
 func NewRandom() Random {
 	var r Random
 	// rand.Read never fails and never returns less than asked.
@@ -68,7 +69,7 @@
 	return r
 }
 
-// Fields is what a token says. Times are kept to the millisecond.
+// Fields are the contents of a token. Times have millisecond precision.
 type Fields struct {
 	// Entry is the name of the issuing entry.
 	Entry    string
@@ -76,7 +77,8 @@
 	Random   Random
 	Account  string
 	Pipeline string
-	// Bindings names, by stage, the agent run that alone may execute it.
+	// Bindings maps each unrepeatable stage to the only run of an agent that
+	// may execute it.
 	Bindings map[string]wire.Binding
 	// Expiry is when a held ID is no longer accepted.
 	Expiry time.Time
@@ -84,8 +86,9 @@
 	Kind wire.IdentityKind
 }
 
-// Mint signs f with key. It returns the empty string when the token would be
-// over MaxLen or f is of no kind that a token can carry.
+// Mint returns a token with the contents of f, signed with key. It returns the
+// empty string if the token would be longer than MaxLen or if f.Kind is not
+// valid in a token.
 func Mint(key Key, f Fields) string {
 	payload, err := encode(f)
 	if err != nil {
@@ -98,23 +101,23 @@
 	return token
 }
 
-// Parse verifies token against each of keys, of which the first is the one in
-// use and the rest are still accepted during a change. Its error is of type
-// ErrTooLong, ErrMalformed or ErrBadMAC.
+// Parse verifies token against keys and returns its contents. The first key is
+// the current one; the others are still accepted during a key rotation. The
+// error is of type ErrTooLong, ErrMalformed or ErrBadMAC.
 func Parse(keys []Key, token string) (Fields, error) {
 	if len(token) > MaxLen {
-		return Fields{}, ErrTooLong.New("a request ID has at most %d bytes", MaxLen)
+		return Fields{}, ErrTooLong.New("the request ID is longer than %d bytes", MaxLen)
 	}
 	signed, mac, err := split(token)
 	if err != nil {
 		return Fields{}, err
 	}
 	if !verify(keys, signed, mac) {
-		return Fields{}, ErrBadMAC.New("the request ID was not issued here")
+		return Fields{}, ErrBadMAC.New("the request ID is not signed with a key of this fleet")
 	}
 	payload, err := encoding.DecodeString(signed[len(prefix):])
 	if err != nil {
-		return Fields{}, ErrMalformed.New("the payload is no base64url")
+		return Fields{}, ErrMalformed.New("the payload is not valid base64url")
 	}
 	return decode(payload)
 }
@@ -124,23 +127,25 @@
 	return signed + separator + encoding.EncodeToString(sum(key, signed))
 }
 
+// split separates a token into the signed text and the MAC.
 func split(token string) (signed string, mac []byte, err error) {
 	at := strings.LastIndex(token, separator)
 	if !strings.HasPrefix(token, prefix) || at < len(prefix) {
-		return "", nil, ErrMalformed.New("not of the form %spayload.mac", prefix)
+		return "", nil, ErrMalformed.New("the request ID does not have the form %spayload.mac", prefix)
 	}
 	text := token[at+len(separator):]
 	mac, err = encoding.DecodeString(text)
-	// The decoder skips line breaks; the length shows that there were none, so
-	// that one ID can't be spelt in several ways.
+	// The decoder skips line breaks. The length check rejects them, so that each
+	// ID has only one spelling.
 	if err != nil || len(mac) != macLen || len(text) != encoding.EncodedLen(macLen) {
-		return "", nil, ErrMalformed.New("the MAC is no base64url of %d bytes", macLen)
+		return "", nil, ErrMalformed.New("the MAC is not base64url of %d bytes", macLen)
 	}
 	return token[:at], mac, nil
 }
 
-// verify tries every key and compares in constant time, so that timing tells
-// nothing about the right MAC.
+// verify reports whether any key signed the text. It tries all keys and
+// compares in constant time, so that timing reveals nothing about the correct
+// MAC.
 func verify(keys []Key, signed string, mac []byte) bool {
 	valid := false
 	for _, key := range keys {
@@ -151,8 +156,8 @@
 	return valid
 }
 
-// sum covers the encoded text with its prefix, so that a token of one format
-// version is never read as another's.
+// sum returns the MAC of the encoded text. It covers the prefix, so that a
+// token of one format version is not accepted as another's.
 func sum(key Key, signed string) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte(signed))
--- a/reqid/reqid_test.go
+++ b/reqid/reqid_test.go
@@ -48,8 +48,8 @@
 	assert.Assert(t, errorx.IsOfType(err, ErrBadMAC))
 }
 
-// A caller edits a held ID, to move its binding to another agent or to use it
-// under another account. Every change of any character must be refused.
+// A client edits a held ID to move its binding to another agent or to use it
+// under another client account. A change of any character must be rejected.
 func TestAlteredToken(t *testing.T) {
 	token := Mint(newKey, sample())
 	for i := range len(token) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// FuzzParse feeds data both as a token and as a payload with a right MAC, so
-// that the decoder behind the MAC is reached too.
+// FuzzParse uses data both as a token and as a payload with a correct MAC, so
+// that the decoder behind the MAC check is reached too.
 func FuzzParse(f *testing.F) {
 	good, err := encode(sample())
 	assert.NilError(f, err)
