--- a/agent/core_arrive.go
+++ b/agent/core_arrive.go
@@ -42,8 +42,8 @@
 }
 
 // Arrive processes a call that was read at now. The checks for an earlier run
-// of the identity come before all others, because a refusal also states that no
-// earlier submission ran.
+// of the identity come before all that could refuse the call, because
+// wire.StatusRefused also states that no earlier submission ran.
 func (c *Core) Arrive(now time.Time, token Token, call wire.StageCall) []Effect {
 	var fx effects
 	a := &arrival{now: now, token: token, call: &call, conf: c.settings.Load(), fx: &fx}
@@ -378,16 +378,16 @@
 
 // rejectCall answers a call that gets no run, and remembers its outcome.
 func (c *Core) rejectCall(a *arrival, reject *refusal) {
-	f := outcomeNotRun
-	kind := VerdictRefused
+	o := outcomeNotRun
+	verdict := VerdictRefused
 	if reject.status == wire.StatusUnknown {
-		f = outcomeUnknown
-		kind = VerdictUnknown
+		o = outcomeUnknown
+		verdict = VerdictUnknown
 	}
-	c.calls.addOutcome(a.now, a.call.ID, f, a.conf.noteExpiry(a.call.Deadline))
+	c.calls.addOutcome(a.now, a.call.ID, o, a.conf.noteExpiry(a.call.Deadline))
 	c.replyRefusal(a.token, a.call.ID, reject, a.fx)
 	c.ledgerRefusal(a.now, a.call, reject, a.fx)
-	c.addDecision(a.fx, a.call, kind, reject.reason, reject.detail)
+	c.addDecision(a.fx, a.call, verdict, reject.reason, reject.detail)
 }
 
 func (c *Core) replyRefusal(token Token, id wire.CallID, reject *refusal, fx *effects) {
--- a/agent/core_calls.go
+++ b/agent/core_calls.go
@@ -126,19 +126,19 @@
 // shard is less than half full. The outcome is a safeguard: a connection
 // delivers a message once, so only a network that duplicates messages could
 // deliver the call again.
-func (t *callTable) addOutcome(now time.Time, id wire.CallID, f outcome, until time.Time) {
+func (t *callTable) addOutcome(now time.Time, id wire.CallID, o outcome, until time.Time) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.notes[id]; ok || !s.hasRoom(now, t.perShard/2) {
 		return
 	}
-	s.notes[id] = &callNote{outcome: f, expires: until}
+	s.notes[id] = &callNote{outcome: o, expires: until}
 }
 
 // addTombstone makes sure that no copy of a call without a note will run. If
 // the call has a note, it returns the note and extends its expiry instead.
-func (t *callTable) addTombstone(now time.Time, id wire.CallID, f outcome, until time.Time) (callNote, bool) {
+func (t *callTable) addTombstone(now time.Time, id wire.CallID, o outcome, until time.Time) (callNote, bool) {
 	s := t.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +154,7 @@
 		}
 		return callNote{}, false
 	}
-	s.notes[id] = &callNote{outcome: f, expires: until}
+	s.notes[id] = &callNote{outcome: o, expires: until}
 	return callNote{}, false
 }
 
--- a/agent/core_effect.go
+++ b/agent/core_effect.go
@@ -87,7 +87,7 @@
 // Verdict is the result of a decision, as written to the log.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
 	VerdictStarted  Verdict = "started"
 	VerdictQueued   Verdict = "queued"
--- a/agent/core_identity.go
+++ b/agent/core_identity.go
@@ -46,8 +46,8 @@
 	size int
 	// expires is when the record may be removed, once it has no run.
 	expires time.Time
-	// lru is the record's element in the shard's LRU list; nil if the record
-	// must not be evicted.
+	// lru is the record's element in the shard's LRU list; nil unless the record
+	// holds the result of a repeatable call.
 	lru *list.Element
 }
 
@@ -64,8 +64,6 @@
 
 // tableLimits are the bounds of one shard.
 type tableLimits struct {
-	// unrepeatable and unrepeatableBytes count the records that must not be
-	// evicted and the bytes of their results.
 	unrepeatable      int
 	unrepeatableBytes int
 	results           int
@@ -75,7 +73,8 @@
 type identityShard struct {
 	mu      sync.Mutex
 	records map[identityKey]*record
-	// unrepeatable and its bytes count what must not be forgotten.
+	// unrepeatable and unrepeatableBytes count the records that must not be
+	// evicted and the bytes of their results.
 	unrepeatable      int
 	unrepeatableBytes int
 	// lru lists the results of repeatable calls, the most recently used first,
--- a/agent/core_pause.go
+++ b/agent/core_pause.go
@@ -43,7 +43,7 @@
 type pauseStatus struct {
 	epoch uint64
 	// refusing means that arriving calls are refused, because they may have
-	// been sent before the pause.
+	// been sent before the process resumed.
 	refusing bool
 	// gap is the length of the pause at the one event that detects it, else
 	// zero.
--- a/agent/core_revoke.go
+++ b/agent/core_revoke.go
@@ -39,15 +39,15 @@
 		}
 		return c.revokeSeen(now, r.ID, note, fx)
 	}
-	f := outcomeNotRun
+	o := outcomeNotRun
 	if !c.canProveNotRun(conf, r) {
-		f = outcomeUnknown
+		o = outcomeUnknown
 	}
-	note, seen := c.calls.addTombstone(now, r.ID, f, conf.noteExpiry(r.Until))
+	note, seen := c.calls.addTombstone(now, r.ID, o, conf.noteExpiry(r.Until))
 	if seen {
 		return c.revokeSeen(now, r.ID, note, fx)
 	}
-	return revokeStateOf(f), 0
+	return revokeStateOf(o), 0
 }
 
 // noteMayBeGone reports whether a missing note proves nothing about the call. A
@@ -137,8 +137,8 @@
 	}
 }
 
-func revokeStateOf(f outcome) wire.RevokeState {
-	switch f {
+func revokeStateOf(o outcome) wire.RevokeState {
+	switch o {
 	case outcomeNotRun:
 		return wire.RevokedNotRun
 	case outcomeReplayed:
--- a/agent/core_settings.go
+++ b/agent/core_settings.go
@@ -73,11 +73,11 @@
 	if slices.Equal(last.slots, slots) {
 		return s.slotHistory
 	}
-	owners := append(slices.Clone(s.slotHistory), ownership{slots: slots, since: now.Add(slotHandover)})
-	if len(owners) > maxSlotLists {
-		owners = owners[len(owners)-maxSlotLists:]
+	history := append(slices.Clone(s.slotHistory), ownership{slots: slots, since: now.Add(slotHandover)})
+	if len(history) > maxSlotLists {
+		history = history[len(history)-maxSlotLists:]
 	}
-	return owners
+	return history
 }
 
 // stageKey identifies a stage of a pipeline.
