--- a/bundle/adoption.go
+++ b/bundle/adoption.go
@@ -9,61 +9,64 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// AdoptionResult says what became of an offered bundle.
+// AdoptionResult is the result of offering a bundle to a Holder.
 type AdoptionResult string
 
 const (
-	// ResultAdopted means: the offered bundle is now in force here.
+	// ResultAdopted means that the offered bundle is now in force.
 	ResultAdopted AdoptionResult = "adopted"
-	// ResultCollected means: the bundle is a candidate until Settle chooses.
+	// ResultCollected means that the bundle is the best candidate so far; the
+	// holder is still collecting.
 	ResultCollected AdoptionResult = "collected"
-	// ResultHeld means: the same bundle is held already.
+	// ResultHeld means that the same bundle is already held.
 	ResultHeld AdoptionResult = "already_held"
-	// ResultOlder means: a higher version is held.
+	// ResultOlder means that the offer was refused because a higher version is held.
 	ResultOlder AdoptionResult = "older_refused"
-	// ResultConflictRefused means: another content of the same version is held and stays.
+	// ResultConflictRefused means that different content of the same version is
+	// held and wins.
 	ResultConflictRefused AdoptionResult = "conflict_refused"
-	// ResultConflictReplaced means: the offered content takes the place of
-	// another one of the same version.
+	// ResultConflictReplaced means that the offered content replaced different
+	// content of the same version.
 	ResultConflictReplaced AdoptionResult = "conflict_replaced"
-	// ResultBadSignature means: no accepted key signed this content.
+	// ResultBadSignature means that no accepted key signed the content.
 	ResultBadSignature AdoptionResult = "bad_signature"
-	// ResultMalformed means: the value is no signed bundle, or only a part of one.
+	// ResultMalformed means that the value is not a complete signed bundle.
 	ResultMalformed AdoptionResult = "malformed"
-	// ResultBadContent means: the bundle is signed but fails its check.
+	// ResultBadContent means that the bundle is correctly signed but fails Check.
 	ResultBadContent AdoptionResult = "bad_content"
-	// ResultNothing means: Settle had no candidate to choose.
+	// ResultNothing means that the collection did not end because there is no
+	// candidate.
 	ResultNothing AdoptionResult = "nothing_collected"
 )
 
-// Adoption is the outcome of one offer, as logged.
+// Adoption is the outcome of one offer, or of the end of the collection, as logged.
 type Adoption struct {
 	Result AdoptionResult
-	// At is when the offer was judged.
+	// At is the time of the call, as given by the caller.
 	At time.Time
-	// Source is who offered, as given to Offer.
+	// Source names the origin of the bundle, as given to Offer.
 	Source string
-	// Offered names the offered bundle; zero if it could not be verified.
+	// Offered identifies the offered bundle; zero if it could not be verified.
 	Offered wire.BundleHead
-	// Held names the bundle in force after the offer, or the best candidate
-	// while settling; zero if there is none.
+	// Held identifies the bundle in force after the offer, or the best candidate
+	// while the holder is collecting; zero if there is none.
 	Held wire.BundleHead
-	// Conflict is set if two contents were signed under one version. It asks
-	// for an operator's attention: only a new, higher version ends it.
+	// Conflict is true if two different contents were signed under one version.
+	// It needs an operator's attention: only a new, higher version resolves it.
 	Conflict bool
 	// Reason explains the result in one sentence.
 	Reason string
-	// Err is why the offer could not be verified.
+	// Err is the error of Verify; nil if the offer passed verification.
 	Err error
 }
 
-// Changed tells whether the offer changed what is in force.
+// Changed reports whether the bundle in force changed.
 func (a Adoption) Changed() bool {
 	return a.Result == ResultAdopted || a.Result == ResultConflictReplaced
 }
 
-// resultOf classifies an error of Verify.
-func resultOf(err error) AdoptionResult {
+// classifyError maps an error of Verify to a result.
+func classifyError(err error) AdoptionResult {
 	switch {
 	case errorx.IsOfType(err, ErrSignature), errorx.IsOfType(err, ErrUnknownKey):
 		return ResultBadSignature
@@ -73,9 +76,9 @@
 	return ResultMalformed
 }
 
-// describe returns the sentence for an offer that passed verification.
+// describe returns the Reason of an offer that passed verification.
 func (a Adoption) describe() string {
-	offered, held := name(a.Offered), name(a.Held)
+	offered, held := formatHead(a.Offered), formatHead(a.Held)
 	switch a.Result {
 	case ResultAdopted:
 		return fmt.Sprintf("%s is in force", offered)
@@ -97,9 +100,9 @@
 	return string(a.Result)
 }
 
-// shownHash is how many digits of a hash a sentence shows.
-const shownHash = 12
+// shownHashDigits is the number of hash digits that Reason shows.
+const shownHashDigits = 12
 
-func name(head wire.BundleHead) string {
-	return fmt.Sprintf("version %d (%.*s)", head.Version, shownHash, head.Hash)
+func formatHead(head wire.BundleHead) string {
+	return fmt.Sprintf("version %d (%.*s)", head.Version, shownHashDigits, head.Hash)
 }
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -16,24 +16,23 @@
 // and JSON may lengthen both.
 const MaxBodyBytes = wire.MaxMessage / 4
 
-// namePattern is what pools, endpoints, pipelines, stages and accounts are
-// named by. Names stand in URLs, log lines and host names.
+// namePattern is the form of the names of pools, endpoints, pipelines, stages
+// and accounts. Names appear in URLs, log lines and host names.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// credentialBytes is the length of a SHA-256 hash.
+// credentialBytes is the length in bytes of a SHA-256 hash.
 const credentialBytes = 32
 
-// Check decodes a bundle and judges whether it makes sense. The error is a
-// finding.List with everything wrong, in the order of the file, each with
-// the place of the offending node.
+// Check decodes a bundle and validates its content. The error is a finding.List
+// of all mistakes in file order, each with the place of the offending node.
 func Check(file string, data []byte) (*Bundle, error) {
 	b, pos, findings := decode(file, data)
 	if pos == nil || b == nil {
 		return nil, findings.Err()
 	}
 	c := checker{bundle: b, findings: findings}
-	c.size(pos, len(data))
-	if !pos.faulty {
+	c.checkSize(pos, len(data))
+	if !pos.invalid {
 		c.check(pos)
 	}
 	sortFindings(c.findings)
@@ -43,7 +42,7 @@
 	return b, nil
 }
 
-// checker judges a decoded bundle.
+// checker validates a decoded bundle.
 type checker struct {
 	bundle   *Bundle
 	findings finding.List
@@ -55,30 +54,30 @@
 	c.require(len(b.Accounts) > 0, pos.field("accounts"), "there must be at least one account")
 	c.require(len(b.Pools) > 0, pos.field("pools"), "there must be at least one pool")
 	c.require(len(b.Pipelines) > 0, pos.field("pipelines"), "there must be at least one pipeline")
-	c.policy(pos.field("policy"))
-	c.pools(pos.field("pools"))
-	c.pipelines(pos.field("pipelines"))
-	holders := newNames("credential")
-	c.accounts(pos.field("accounts"), holders)
-	c.operators(pos.field("operators"), holders)
+	c.checkPolicy(pos.field("policy"))
+	c.checkPools(pos.field("pools"))
+	c.checkPipelines(pos.field("pipelines"))
+	seenHashes := newNameSet("credential")
+	c.checkAccounts(pos.field("accounts"), seenHashes)
+	c.checkOperators(pos.field("operators"), seenHashes)
 }
 
-// require adds a finding unless ok. Values that could not be read have a
-// finding already and get no second one.
+// require adds a finding unless ok. Values that could not be decoded already
+// have a finding and get no second one.
 func (c *checker) require(ok bool, pos *position, format string, args ...any) {
-	if !ok && !pos.faulty {
+	if !ok && !pos.invalid {
 		c.findings.Add(pos.place, format, args...)
 	}
 }
 
-// size judges the published value, which is longer than the YAML.
-func (c *checker) size(pos *position, payload int) {
+// checkSize checks the length of the signed value, which is longer than the YAML.
+func (c *checker) checkSize(pos *position, payload int) {
 	signed := signedSize(payload)
 	c.require(signed <= MaxBytes, pos,
 		"bundle has %d bytes once signed; the configuration service holds at most %d", signed, MaxBytes)
 }
 
-func (c *checker) policy(pos *position) {
+func (c *checker) checkPolicy(pos *position) {
 	p := c.bundle.Policy
 	c.require(p.Name == PolicyAdaptive || p.Name == PolicyNaive, pos.field("name"),
 		"unknown policy %q; known: %s, %s", p.Name, PolicyAdaptive, PolicyNaive)
@@ -93,56 +92,56 @@
 	c.require(p.MaxClockSkew >= 0, pos.field("max_clock_skew"), "max_clock_skew must not be negative")
 }
 
-func (c *checker) pools(pos *position) {
-	pools := newNames("pool")
-	slots := newNames("slot")
+func (c *checker) checkPools(pos *position) {
+	pools := newNameSet("pool")
+	slots := newNameSet("slot")
 	for i := range c.bundle.Pools {
 		pool := &c.bundle.Pools[i]
 		at := pos.item(i)
-		c.name(pools, pool.Name, at.field("name"))
+		c.requireValidName(pools, pool.Name, at.field("name"))
 		c.require(pool.Protocol == ProtocolEngine || pool.Protocol == ProtocolService, at.field("protocol"),
 			"unknown protocol %q; known: %s, %s", pool.Protocol, ProtocolEngine, ProtocolService)
 		c.require(pool.Endpoints >= 1, at.field("endpoints"), "endpoints must be at least 1")
 		c.require(pool.Concurrency >= 1, at.field("concurrency"), "concurrency must be at least 1")
 		c.require(pool.Queue >= 0, at.field("queue"), "queue must not be negative")
-		c.require(len(pool.Slots) <= pool.Endpoints || at.field("endpoints").faulty, at.field("slots"),
+		c.require(len(pool.Slots) <= pool.Endpoints || at.field("endpoints").invalid, at.field("slots"),
 			"pool %q has %d slots but only %d endpoints", pool.Name, len(pool.Slots), pool.Endpoints)
 		for j, slot := range pool.Slots {
-			c.name(slots, slot, at.field("slots").item(j))
+			c.requireValidName(slots, slot, at.field("slots").item(j))
 		}
-		c.models(pool, at.field("models"))
+		c.checkModels(pool, at.field("models"))
 	}
 }
 
-func (c *checker) models(pool *Pool, pos *position) {
+func (c *checker) checkModels(pool *Pool, pos *position) {
 	c.require(pool.Protocol == ProtocolEngine || len(pool.Models) == 0, pos,
 		"pool %q holds models but its protocol is not %s", pool.Name, ProtocolEngine)
-	models := newNames("model")
+	models := newNameSet("model")
 	for i, model := range pool.Models {
 		at := pos.item(i)
 		c.require(model != "", at, "model name is empty")
-		c.unique(models, model, at)
+		c.requireUnique(models, model, at)
 	}
 }
 
-func (c *checker) pipelines(pos *position) {
-	pipelines := newNames("pipeline")
+func (c *checker) checkPipelines(pos *position) {
+	pipelines := newNameSet("pipeline")
 	for i := range c.bundle.Pipelines {
 		p := &c.bundle.Pipelines[i]
 		at := pos.item(i)
-		c.name(pipelines, p.Name, at.field("name"))
+		c.requireValidName(pipelines, p.Name, at.field("name"))
 		c.require(p.MaxBody >= 1 && p.MaxBody <= MaxBodyBytes, at.field("max_body"),
 			"max_body must be between 1 and %d bytes", MaxBodyBytes)
 		c.require(len(p.Stages) >= 1 && len(p.Stages) <= MaxStages, at.field("stages"),
 			"pipeline %q has %d stages; 1 to %d are allowed", p.Name, len(p.Stages), MaxStages)
-		c.stages(p, at.field("stages"))
-		c.deadline(p, at)
+		c.checkStages(p, at.field("stages"))
+		c.checkDeadline(p, at)
 	}
 }
 
-// deadline compares a pipeline's deadline with what its stages need and with
-// how long a finished call is remembered.
-func (c *checker) deadline(p *Pipeline, at *position) {
+// checkDeadline compares a pipeline's deadline with the typical time of its
+// stages and with how long a finished call is remembered.
+func (c *checker) checkDeadline(p *Pipeline, at *position) {
 	pos := at.field("deadline")
 	if p.Deadline <= 0 {
 		c.require(false, pos, "deadline must be longer than 0s")
@@ -154,26 +153,26 @@
 	}
 	c.require(p.Deadline.D() >= sum, pos,
 		"deadline %s cannot be met: the stages of %q typically take %s", p.Deadline.D(), p.Name, sum)
-	// A call forgotten before its request ends could run a second time.
+	// A call that is forgotten before its request ends could run a second time.
 	retention := c.bundle.Policy.KeyRetention
 	c.require(retention <= 0 || p.Deadline <= retention, pos,
 		"deadline %s is longer than the policy's key_retention %s", p.Deadline.D(), retention.D())
 }
 
-func (c *checker) stages(p *Pipeline, pos *position) {
-	stages := newNames("stage")
+func (c *checker) checkStages(p *Pipeline, pos *position) {
+	stages := newNameSet("stage")
 	for i := range p.Stages {
 		s := &p.Stages[i]
 		at := pos.item(i)
-		c.name(stages, s.Name, at.field("name"))
+		c.requireValidName(stages, s.Name, at.field("name"))
 		c.require(s.Typical > 0, at.field("typical"), "typical must be longer than 0s")
 		c.require(s.MaxTokens >= 0, at.field("max_tokens"), "max_tokens must not be negative")
-		c.stagePool(s, at)
+		c.checkStagePool(s, at)
 	}
 }
 
-// stagePool judges a stage together with the pool that runs it.
-func (c *checker) stagePool(s *Stage, at *position) {
+// checkStagePool checks a stage against the pool that runs it.
+func (c *checker) checkStagePool(s *Stage, at *position) {
 	pool := c.bundle.Pool(s.Pool)
 	if pool == nil {
 		c.require(false, at.field("pool"), "unknown pool %q", s.Pool)
@@ -194,44 +193,45 @@
 	c.require(false, at.field("model"), "unknown model %q in pool %q", s.Model, s.Pool)
 }
 
-func (c *checker) accounts(pos *position, holders *names) {
-	accounts := newNames("account")
+func (c *checker) checkAccounts(pos *position, seenHashes *nameSet) {
+	accounts := newNameSet("account")
 	for i := range c.bundle.Accounts {
 		a := &c.bundle.Accounts[i]
 		at := pos.item(i)
-		c.name(accounts, a.Name, at.field("name"))
-		c.credentials(a.CredentialSHA256, at.field("credential_sha256"), holders)
+		c.requireValidName(accounts, a.Name, at.field("name"))
+		c.checkCredentials(a.CredentialSHA256, at.field("credential_sha256"), seenHashes)
 		c.require(a.Weight >= 1, at.field("weight"), "weight must be at least 1")
 		c.require(a.Priority >= 0, at.field("priority"), "priority must not be negative")
-		c.limit(a.Limit, at.field("limit"))
-		allowed := newNames("pipeline")
+		c.checkLimit(a.Limit, at.field("limit"))
+		allowed := newNameSet("pipeline")
 		for j, name := range a.Pipelines {
 			item := at.field("pipelines").item(j)
 			c.require(c.bundle.Pipeline(name) != nil, item, "unknown pipeline %q", name)
-			c.unique(allowed, name, item)
+			c.requireUnique(allowed, name, item)
 		}
 	}
 }
 
-func (c *checker) limit(l Limit, pos *position) {
+func (c *checker) checkLimit(l Limit, pos *position) {
 	c.require(l.RequestsPerSecond > 0, pos.field("requests_per_second"), "requests_per_second must be more than 0")
 	c.require(l.Burst >= 1, pos.field("burst"), "burst must be at least 1")
 	c.require(l.InFlight >= 1, pos.field("in_flight"), "in_flight must be at least 1")
 }
 
-func (c *checker) operators(pos *position, holders *names) {
-	operators := newNames("operator")
+func (c *checker) checkOperators(pos *position, seenHashes *nameSet) {
+	operators := newNameSet("operator")
 	for i := range c.bundle.Operators {
 		o := &c.bundle.Operators[i]
 		at := pos.item(i)
-		c.name(operators, o.Name, at.field("name"))
-		c.credentials(o.CredentialSHA256, at.field("credential_sha256"), holders)
+		c.requireValidName(operators, o.Name, at.field("name"))
+		c.checkCredentials(o.CredentialSHA256, at.field("credential_sha256"), seenHashes)
 	}
 }
 
-// credentials judges hashes. One hash in two places would make it uncertain
-// whose requests its bearer sends, and whose answers it may see.
-func (c *checker) credentials(hashes []string, pos *position, holders *names) {
+// checkCredentials checks the form of credential hashes and that each is used
+// once. One hash in two places would leave open to whom a request belongs and
+// whose answers its sender may see.
+func (c *checker) checkCredentials(hashes []string, pos *position, seenHashes *nameSet) {
 	c.require(len(hashes) > 0, pos, "there must be at least one credential hash")
 	for i, h := range hashes {
 		at := pos.item(i)
@@ -240,43 +240,43 @@
 			c.require(false, at, "credential_sha256 must be %d lower-case hex digits", 2*credentialBytes)
 			continue
 		}
-		c.unique(holders, h, at)
+		c.requireUnique(seenHashes, h, at)
 	}
 }
 
-// name judges a name's form and that it is used once.
-func (c *checker) name(seen *names, name string, pos *position) {
+// requireValidName requires that a name matches namePattern and is used once.
+func (c *checker) requireValidName(seen *nameSet, name string, pos *position) {
 	if !namePattern.MatchString(name) {
 		c.require(false, pos, "%s name %q must be 1 to 63 lower-case letters, digits and inner hyphens", seen.kind, name)
 		return
 	}
-	c.unique(seen, name, pos)
+	c.requireUnique(seen, name, pos)
 }
 
-// unique judges that a value is used once.
-func (c *checker) unique(seen *names, name string, pos *position) {
-	if pos.faulty {
+// requireUnique requires that a value is used once.
+func (c *checker) requireUnique(seen *nameSet, name string, pos *position) {
+	if pos.invalid {
 		return
 	}
-	first, ok := seen.places[name]
+	first, ok := seen.firstUse[name]
 	if !ok {
-		seen.places[name] = pos.place
+		seen.firstUse[name] = pos.place
 		return
 	}
 	c.require(false, pos, "duplicate %s %q, first at %s", seen.kind, name, first)
 }
 
-// names are the values of one kind with where each was first used.
-type names struct {
-	kind   string
-	places map[string]finding.Place
+// nameSet holds the values of one kind, each with the place of its first use.
+type nameSet struct {
+	kind     string
+	firstUse map[string]finding.Place
 }
 
-func newNames(kind string) *names {
-	return &names{kind: kind, places: make(map[string]finding.Place)}
+func newNameSet(kind string) *nameSet {
+	return &nameSet{kind: kind, firstUse: make(map[string]finding.Place)}
 }
 
-// sortFindings puts findings in the order of the file.
+// sortFindings sorts findings by line and column.
 func sortFindings(l finding.List) {
 	slices.SortStableFunc(l, func(a, b finding.Finding) int {
 		return cmp.Or(
--- a/bundle/check_test.go
+++ b/bundle/check_test.go
@@ -10,7 +10,8 @@
 
 const otherHash = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 
-// Each case breaks one thing in the sample and finds it, and nothing else.
+// Each case introduces one mistake into the sample; Check must report that
+// mistake and what follows from it, and nothing else.
 func TestCheck(t *testing.T) {
 	_, err := Check("f", []byte(sample))
 	assert.NilError(t, err)
@@ -59,7 +60,7 @@
 		{"      - {name: order,", strings.Repeat("      - {name: x, pool: orders}\n", 5) + "      - {name: order,",
 			`f:22:7: pipeline "notes" has 7 stages; 1 to 6 are allowed`},
 	} {
-		_, err := Check("f", []byte(replaced(t, c.old, c.new)))
+		_, err := Check("f", []byte(sampleWith(t, c.old, c.new)))
 		assert.Assert(t, err != nil, c.want)
 		if strings.Contains(c.want, "7 stages") {
 			assert.Assert(t, cmp.Contains(err.Error(), c.want))
@@ -69,7 +70,7 @@
 	}
 }
 
-// The findings of both the form and the sense come in one list, in file order.
+// Findings of the decoder and of the checks are reported in one list, in file order.
 func TestCheckReportsEverythingAtOnce(t *testing.T) {
 	yaml := strings.NewReplacer("version: 3", "version: 0", "burst:", "brust:", "deadline: 1s", "deadline: 1ms").Replace(sample)
 	_, err := Check("f", []byte(yaml))
--- a/bundle/decode.go
+++ b/bundle/decode.go
@@ -17,8 +17,8 @@
 
 // Decode reads a bundle from YAML. The error is a finding.List with every
 // unknown field, duplicate key and wrongly typed value, each with its place in
-// file. Values that the YAML omits get their defaults. Decode does not judge
-// whether the values make sense; Check does.
+// file. Values that the YAML omits get their defaults. Decode does not validate
+// the values; Check does.
 func Decode(file string, data []byte) (*Bundle, error) {
 	b, _, findings := decode(file, data)
 	if err := findings.Err(); err != nil {
@@ -27,8 +27,8 @@
 	return b, nil
 }
 
-// decode returns what could be read, with the place of each value. The
-// position is nil if the file is not a YAML mapping at all.
+// decode returns the bundle as far as it could be read, with the position of
+// each value. Both are nil if there is no document to decode.
 func decode(file string, data []byte) (*Bundle, *position, finding.List) {
 	d := decoder{file: file}
 	root := d.parse(data)
@@ -36,30 +36,31 @@
 		return nil, nil, d.findings
 	}
 	b := &Bundle{}
-	pos := d.value(root, reflect.ValueOf(b).Elem())
+	pos := d.decodeValue(root, reflect.ValueOf(b).Elem())
 	return b, pos, d.findings
 }
 
-// decoder reads YAML nodes into Go values and goes on after a mistake, so that
-// all of them are reported at once. The library's own decoder stops at the first.
+// decoder reads YAML nodes into Go values and continues after a mistake, so that
+// all mistakes are reported at once. The library's own decoder stops at the first.
 type decoder struct {
 	file     string
 	findings finding.List
 }
 
-// parse returns the only document's content, or nil after a finding.
+// parse returns the content of the only document, or nil if it added a finding
+// that rules out decoding.
 func (d *decoder) parse(data []byte) ast.Node {
 	start := finding.Place{File: d.file, Line: 1, Column: 1}
 	if len(data) > MaxBytes {
 		d.findings.Add(start, "file has %d bytes; at most %d are allowed", len(data), MaxBytes)
 		return nil
 	}
-	if !d.scan(data) {
+	if !d.checkNesting(data) {
 		return nil
 	}
 	parsed, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.syntax(start, err)
+		d.addSyntaxError(start, err)
 		return nil
 	}
 	if len(parsed.Docs) == 0 || parsed.Docs[0].Body == nil {
@@ -72,8 +73,9 @@
 	return parsed.Docs[0].Body
 }
 
-// syntax reports what the parser objected to.
-func (d *decoder) syntax(start finding.Place, err error) {
+// addSyntaxError adds a finding for an error of the parser, at the parser's
+// token if it names one, else at start.
+func (d *decoder) addSyntaxError(start finding.Place, err error) {
 	var located yaml.Error
 	if !errors.As(err, &located) {
 		d.findings.Add(start, "%v", err)
@@ -81,14 +83,15 @@
 	}
 	place := start
 	if tk := located.GetToken(); tk != nil && tk.Position != nil {
-		place = d.at(tk)
+		place = d.tokenPlace(tk)
 	}
 	d.findings.Add(place, "syntax error: %s", located.GetMessage())
 }
 
-// place returns where a node begins.
+// place returns the place where a node begins, or fallback if the node has no
+// token.
 func (d *decoder) place(node ast.Node, fallback finding.Place) finding.Place {
-	// The token of a block mapping or pair is a colon; people look for the key.
+	// The token of a block mapping or pair is its colon; readers look for the key.
 	switch n := node.(type) {
 	case *ast.DocumentNode:
 		if n.Body == nil {
@@ -106,40 +109,40 @@
 	if tk == nil || tk.Position == nil {
 		return fallback
 	}
-	return d.at(tk)
+	return d.tokenPlace(tk)
 }
 
-// value reads node into v and returns its position.
-func (d *decoder) value(node ast.Node, v reflect.Value) *position {
+// decodeValue decodes node into v and returns its position.
+func (d *decoder) decodeValue(node ast.Node, v reflect.Value) *position {
 	pos := &position{place: d.place(node, finding.Place{File: d.file, Line: 1, Column: 1})}
 	if _, ok := node.(*ast.NullNode); ok {
-		d.fault(pos, "value is missing")
+		d.markInvalid(pos, "value is missing")
 		return pos
 	}
 	switch {
-	case isText(v):
-		d.text(node, v, pos)
+	case unmarshalsText(v):
+		d.decodeText(node, v, pos)
 	case v.Kind() == reflect.Struct:
-		d.mapping(node, v, pos)
+		d.decodeMapping(node, v, pos)
 	case v.Kind() == reflect.Slice:
-		d.sequence(node, v, pos)
+		d.decodeSequence(node, v, pos)
 	default:
-		d.scalar(node, v, pos)
+		d.decodeScalar(node, v, pos)
 	}
 	return pos
 }
 
-// fault adds a finding at pos and marks it as judged.
-func (d *decoder) fault(pos *position, format string, args ...any) {
-	pos.faulty = true
+// markInvalid adds a finding at pos and marks pos as invalid.
+func (d *decoder) markInvalid(pos *position, format string, args ...any) {
+	pos.invalid = true
 	d.findings.Add(pos.place, format, args...)
 }
 
-// mapping reads a YAML mapping into a struct.
-func (d *decoder) mapping(node ast.Node, v reflect.Value, pos *position) {
+// decodeMapping decodes a YAML mapping into a struct.
+func (d *decoder) decodeMapping(node ast.Node, v reflect.Value, pos *position) {
 	pairs, ok := pairsOf(node)
 	if !ok {
-		d.fault(pos, "expected a mapping, found %s", kindOf(node))
+		d.markInvalid(pos, "expected a mapping, found %s", kindOf(node))
 		return
 	}
 	if part, ok := v.Addr().Interface().(defaulter); ok {
@@ -148,12 +151,12 @@
 	names := fieldIndex(v.Type())
 	pos.fields = make(map[string]*position, len(pairs))
 	for _, pair := range pairs {
-		d.pair(pair, v, names, pos)
+		d.decodePair(pair, v, names, pos)
 	}
 }
 
-// pair reads one key with its value.
-func (d *decoder) pair(pair *ast.MappingValueNode, v reflect.Value, names map[string]int, pos *position) {
+// decodePair decodes one key and its value into the field of that name.
+func (d *decoder) decodePair(pair *ast.MappingValueNode, v reflect.Value, names map[string]int, pos *position) {
 	place := d.place(pair.Key, pos.place)
 	key, ok := pair.Key.(*ast.StringNode)
 	if !ok {
@@ -170,30 +173,30 @@
 		return
 	}
 	if pair.Value == nil {
-		pos.fields[key.Value] = &position{place: place, faulty: true}
+		pos.fields[key.Value] = &position{place: place, invalid: true}
 		d.findings.Add(place, "value is missing")
 		return
 	}
-	pos.fields[key.Value] = d.value(pair.Value, v.Field(index))
+	pos.fields[key.Value] = d.decodeValue(pair.Value, v.Field(index))
 }
 
-// sequence reads a YAML sequence into a slice.
-func (d *decoder) sequence(node ast.Node, v reflect.Value, pos *position) {
+// decodeSequence decodes a YAML sequence into a slice.
+func (d *decoder) decodeSequence(node ast.Node, v reflect.Value, pos *position) {
 	seq, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.fault(pos, "expected a list, found %s", kindOf(node))
+		d.markInvalid(pos, "expected a list, found %s", kindOf(node))
 		return
 	}
 	list := reflect.MakeSlice(v.Type(), len(seq.Values), len(seq.Values))
 	pos.items = make([]*position, len(seq.Values))
 	for i, item := range seq.Values {
-		pos.items[i] = d.value(item, list.Index(i))
+		pos.items[i] = d.decodeValue(item, list.Index(i))
 	}
 	v.Set(list)
 }
 
-// pairsOf returns the pairs of a mapping; a mapping of one pair may come as
-// the pair alone.
+// pairsOf returns the pairs of a mapping. The parser may represent a mapping of
+// one pair as the pair alone.
 func pairsOf(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := node.(type) {
 	case *ast.MappingNode:
--- a/bundle/decode_test.go
+++ b/bundle/decode_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, b.Pipeline("notes").MaxBody, DefaultMaxBody)
 	assert.Equal(t, b.Pipeline("notes").Stages[1].Typical, DefaultTypical)
 
-	b, err = Decode("f", []byte(replaced(t, "version: 3", "version: 3\npolicy: {affinity: 0, max_clock_skew: 0s}")))
+	b, err = Decode("f", []byte(sampleWith(t, "version: 3", "version: 3\npolicy: {affinity: 0, max_clock_skew: 0s}")))
 	assert.NilError(t, err)
 	assert.Equal(t, b.Policy.Affinity, 0.0, "an explicit zero is no omission")
 	assert.Equal(t, b.Policy.MaxClockSkew, Duration(0))
@@ -70,7 +70,7 @@
 		{"", "f:1:1: file is empty"},
 		{"# nothing\n", "f:1:1: file is empty"},
 		{"- a\n", "f:1:1: expected a mapping, found a list"},
-		// The second document has no content and so no token to stand at.
+		// The second document has no content and so no token that gives its place.
 		{"0\n---", "f:1:1: only one YAML document is allowed"},
 		{"version: [1\n", "syntax error"},
 		{"version: 1\n---\nversion: 2\n", "f:3:1: only one YAML document is allowed"},
--- a/bundle/defaults.go
+++ b/bundle/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values that apply where a bundle says nothing.
+// Default values of fields that a bundle omits.
 const (
 	DefaultPolicy       = PolicyAdaptive
 	DefaultRetryBudget  = 0.1
@@ -30,8 +30,8 @@
 	DefaultInFlight          = 200
 )
 
-// defaulter is a part of the bundle that has default values. They are set
-// before the YAML is read, so that an explicit zero is kept.
+// defaulter is implemented by the parts of a bundle that have default values.
+// Defaults are set before the YAML is decoded, so that an explicit zero is kept.
 type defaulter interface {
 	setDefaults()
 }
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// ChangeKind tells how a value differs between two bundles.
+// ChangeKind is the way in which a value differs between two bundles.
 type ChangeKind string
 
 // The kinds of change.
@@ -21,15 +21,16 @@
 
 // Change is one difference between two bundles.
 type Change struct {
-	// Path names the value, as in "pools.encoders.queue".
+	// Path locates the value, such as "pools.encoders.queue".
 	Path string     `json:"path"`
 	Kind ChangeKind `json:"kind"`
-	// Old and New are the values as written in YAML or, for mappings, JSON.
+	// Old and New are the values: durations such as "4s", plain strings, JSON for
+	// all else. For ChangeReordered they are the comma-separated keys of the items.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-// String writes the change on one line.
+// String formats the change as one line.
 func (c Change) String() string {
 	switch c.Kind {
 	case ChangeAdded:
@@ -42,14 +43,15 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Path, c.Old, c.New)
 }
 
-// Diff lists what changes from one bundle to another, in the order of the
-// schema. Parts that have a name are matched by it.
+// Diff lists the changes from one bundle to another, in the order of the
+// schema. Items of lists are matched by name.
 func Diff(from, to *Bundle) []Change {
 	var d differ
 	d.compare("", reflect.ValueOf(*from), reflect.ValueOf(*to))
 	return d.changes
 }
 
+// differ collects the changes between two bundles.
 type differ struct {
 	changes []Change
 }
@@ -58,63 +60,65 @@
 	d.changes = append(d.changes, Change{Path: path, Kind: kind, Old: from, New: to})
 }
 
+// compare adds the changes between two values of the same type.
 func (d *differ) compare(path string, from, to reflect.Value) {
 	switch from.Kind() {
 	case reflect.Struct:
 		for i := range from.NumField() {
 			name := fieldName(from.Type().Field(i))
-			d.compare(join(path, name), from.Field(i), to.Field(i))
+			d.compare(joinPath(path, name), from.Field(i), to.Field(i))
 		}
 	case reflect.Slice:
-		d.lists(path, from, to)
+		d.compareLists(path, from, to)
 	default:
 		if !from.Equal(to) {
-			d.add(ChangeModified, path, show(from), show(to))
+			d.add(ChangeModified, path, formatValue(from), formatValue(to))
 		}
 	}
 }
 
-// lists matches the items of two lists by key.
-func (d *differ) lists(path string, from, to reflect.Value) {
+// compareLists adds the changes between two lists, whose items are matched by key.
+func (d *differ) compareLists(path string, from, to reflect.Value) {
 	oldKeys := keysOf(from)
 	newKeys := keysOf(to)
-	var kept, common []string
+	var oldOrder, newOrder []string
 	for i, key := range oldKeys {
 		j := slices.Index(newKeys, key)
 		if j < 0 {
-			d.item(ChangeRemoved, path, key, from.Index(i))
+			d.addItem(ChangeRemoved, path, key, from.Index(i))
 			continue
 		}
-		kept = append(kept, key)
+		oldOrder = append(oldOrder, key)
 		if from.Index(i).Kind() == reflect.Struct {
-			d.compare(join(path, key), from.Index(i), to.Index(j))
+			d.compare(joinPath(path, key), from.Index(i), to.Index(j))
 		}
 	}
 	for j, key := range newKeys {
 		if slices.Contains(oldKeys, key) {
-			common = append(common, key)
+			newOrder = append(newOrder, key)
 			continue
 		}
-		d.item(ChangeAdded, path, key, to.Index(j))
+		d.addItem(ChangeAdded, path, key, to.Index(j))
 	}
-	if !slices.Equal(kept, common) {
-		d.add(ChangeReordered, path, strings.Join(kept, ", "), strings.Join(common, ", "))
+	if !slices.Equal(oldOrder, newOrder) {
+		d.add(ChangeReordered, path, strings.Join(oldOrder, ", "), strings.Join(newOrder, ", "))
 	}
 }
 
-// item reports a whole item of a list as added or removed.
-func (d *differ) item(kind ChangeKind, path, key string, v reflect.Value) {
+// addItem adds a change for a whole item of a list that was added or removed.
+func (d *differ) addItem(kind ChangeKind, path, key string, v reflect.Value) {
 	if v.Kind() == reflect.Struct {
-		path = join(path, key)
+		path = joinPath(path, key)
 	}
 	if kind == ChangeAdded {
-		d.add(kind, path, "", show(v))
+		d.add(kind, path, "", formatValue(v))
 		return
 	}
-	d.add(kind, path, show(v), "")
+	d.add(kind, path, formatValue(v), "")
 }
 
-// keysOf returns the names of a list's parts, or its values if they are scalars.
+// keysOf returns the names of a list's items, or the items themselves if they
+// are strings.
 func keysOf(list reflect.Value) []string {
 	keys := make([]string, list.Len())
 	for i := range keys {
@@ -127,8 +131,8 @@
 	return keys
 }
 
-// show writes a value on one line.
-func show(v reflect.Value) string {
+// formatValue formats a value as one line.
+func formatValue(v reflect.Value) string {
 	switch value := v.Interface().(type) {
 	case Duration:
 		return value.D().String()
@@ -142,7 +146,7 @@
 	return string(text)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/bundle/fuzz_test.go
+++ b/bundle/fuzz_test.go
@@ -10,9 +10,8 @@
 	"github.com/mangostage/mangostage/finding"
 )
 
-// FuzzDecode feeds the decoder, the check and the reader of signed values. Any
-// input gives a bundle or findings with a place; what passes the check can be
-// signed and read back.
+// FuzzDecode fuzzes Decode, Check and Verify. Any input must give a bundle or
+// findings with a place, and what passes Check can be signed and verified.
 func FuzzDecode(f *testing.F) {
 	pub, priv := testKey(1)
 	keys := []ed25519.PublicKey{pub}
@@ -38,7 +37,7 @@
 			assert.DeepEqual(t, v.Bundle, b)
 		}
 		if _, err := Verify(keys, data); err == nil {
-			e, err := open(data)
+			e, err := parseEnvelope(data)
 			assert.NilError(t, err)
 			assert.NilError(t, e.verify(keys))
 		}
--- a/bundle/helper_test.go
+++ b/bundle/helper_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert/cmp"
 )
 
-// sample is a small bundle without findings.
+// sample is a small valid bundle.
 const sample = `version: 3
 accounts:
   - name: shops
@@ -36,8 +36,8 @@
       - {name: order, pool: orders, unrepeatable: true}
 `
 
-// replaced returns the sample with old replaced by new, once.
-func replaced(t testing.TB, old, new string) string {
+// sampleWith returns the sample with the first occurrence of old replaced by new.
+func sampleWith(t testing.TB, old, new string) string {
 	t.Helper()
 	assert.Assert(t, cmp.Contains(sample, old))
 	return strings.Replace(sample, old, new, 1)
@@ -51,11 +51,11 @@
 	return priv.Public().(ed25519.PublicKey), priv
 }
 
-// signedSample signs the sample under a version, with a content told apart by
-// its description.
+// signedSample signs the sample with the given version, and with content as its
+// description so that contents of one version differ.
 func signedSample(t testing.TB, priv ed25519.PrivateKey, version uint64, content string) []byte {
 	t.Helper()
-	yaml := replaced(t, "version: 3", fmt.Sprintf("version: %d\ndescription: %s", version, content))
+	yaml := sampleWith(t, "version: 3", fmt.Sprintf("version: %d\ndescription: %s", version, content))
 	signed, err := Sign(priv, []byte(yaml))
 	assert.NilError(t, err)
 	return signed
--- a/bundle/holder.go
+++ b/bundle/holder.go
@@ -12,89 +12,93 @@
 )
 
 const (
-	// maxEarlier is how many bundles a process keeps besides the one in
-	// force, for requests that began under them. Memory is bounded by
-	// maxEarlier times MaxBytes of published value and what it decodes to.
-	maxEarlier = 8
-	// maxRivals is how many contents of one version are remembered as losers,
-	// so that they are not fetched from peers again and again.
-	maxRivals = 16
+	// maxPreviousBundles is how many bundles a process keeps besides the one in
+	// force, for requests that began under them. It bounds memory to
+	// maxPreviousBundles times the decoded bundle plus MaxBytes of signed value.
+	maxPreviousBundles = 8
+	// maxConflictHashes is how many hashes of one version in conflict are
+	// remembered, so that rejected contents are not fetched from peers repeatedly.
+	maxConflictHashes = 16
 )
 
 // Holder decides which bundle is in force in one process. It does no I/O: the
 // caller offers what it reads from the platform and from peers. All methods
-// may be called from several goroutines; Current, ByVersion and ByHead take no lock.
+// may be called concurrently; Current, ByVersion and ByHead take no lock.
 //
-// Bundles are ordered by version, then by hash, the lower hash being the later
-// one. A holder only ever moves forward in that order:
+// Bundles are ordered by version and, within a version, by descending hash:
+// the lower hash wins. A holder only moves forward in that order:
 //
-//   - A stale configuration service, a lagging peer or a process woken after
-//     a pause may offer an older version at any time. It shows as an offer below
-//     the version held and is refused, so that no process goes back.
-//   - Two operators may sign different contents under one version. It shows as
-//     two hashes for one version. If each process kept the content it saw
-//     first, one version would mean two things in the fleet until somebody
-//     noticed; if it took the latest, it would alternate as peers repeat what
-//     they hold. Going back to the earlier version is excluded. With the lower
-//     hash as the winner, every process that has seen both holds the same one
-//     whatever the order of arrival, without agreement or clocks, and a process
-//     that moved to the lower hash has no way back. The choice is arbitrary
-//     but the same everywhere, and each process reports the conflict, because
-//     only a higher version says what the operators want.
+//   - A stale configuration service, a lagging peer or a process resumed after
+//     a pause may offer an older version at any time. The holder refuses any
+//     version below the one held, so that no process goes back.
+//   - Two operators may sign different contents under one version, which shows
+//     as two hashes for that version. If each process kept the content it saw
+//     first, the fleet would run two contents under one version until somebody
+//     noticed. If it took the latest, it would alternate as peers repeat what
+//     they hold. Going back to the previous version is excluded. With the lower
+//     hash as the winner, all processes that have seen both contents hold the
+//     same one in whatever order they arrived, without consensus or clocks, and
+//     a process that moved to the lower hash never moves back. The choice is
+//     arbitrary but the same everywhere, and each process reports the conflict,
+//     because only a higher version states what the operators want.
 type Holder struct {
 	keys  []ed25519.PublicKey
-	state atomic.Pointer[held]
-	// mu serialises changes of state, candidate and conflict.
+	state atomic.Pointer[holderState]
+	// mu guards changes of state, candidate and conflict.
 	mu sync.Mutex
-	// candidate is the best bundle collected before the first Settle.
+	// candidate is the best bundle offered so far; nil once a bundle is in force.
 	candidate *Verified
-	conflict  *Conflict
+	// conflict is the conflict on the version of the best bundle held; nil if none.
+	conflict *Conflict
 }
 
-// held is an immutable view of what a holder has adopted.
-type held struct {
+// holderState is an immutable snapshot of the bundles that a holder has adopted.
+type holderState struct {
 	current *Verified
-	// earlier is ordered from the latest to the oldest.
-	earlier []*Verified
+	// previous is ordered from the most recently replaced bundle to the oldest.
+	previous []*Verified
 }
 
-// Conflict is a version that was signed with several contents.
+// Conflict describes a version that was signed with several contents.
 type Conflict struct {
 	Version uint64
-	// Hashes of the contents seen, in the order in which they were; bounded.
+	// Hashes are the hashes of the contents seen, in order of arrival, at most
+	// maxConflictHashes.
 	Hashes []string
 }
 
 // NewHolder returns a holder that accepts bundles signed by any of keys. It
-// begins settling: offers are collected, and nothing is in force until Settle.
+// starts by collecting: offers only become candidates, and no bundle is in
+// force until the caller ends the collection.
 //
-// A fresh process may read an old bundle from a stale configuration service
-// while its peers have a newer one in force. Collecting from both before the
-// first choice keeps it from serving under the old one.
+// A process that has just started may read an old bundle from a stale
+// configuration service while its peers have a newer one in force. Collecting
+// from both before the first choice keeps it from serving under the old one.
 func NewHolder(keys []ed25519.PublicKey) *Holder {
 	h := &Holder{keys: slices.Clone(keys)}
-	h.state.Store(&held{})
+	h.state.Store(&holderState{})
 	return h
 }
 
-// Current returns the bundle in force, or nil before the holder has settled.
+// Current returns the bundle in force, or nil while the holder is collecting.
 func (h *Holder) Current() *Verified {
 	return h.state.Load().current
 }
 
-// ByVersion returns the bundle in force or an earlier one of that version, or
-// nil if it was never adopted here or is no longer kept. Of a version in
-// conflict it returns the content adopted last.
+// ByVersion returns the current or a previous bundle of that version, or nil if
+// none was adopted in this process or it is no longer kept. If the version is in
+// conflict, ByVersion returns the content adopted last.
 func (h *Holder) ByVersion(version uint64) *Verified {
 	return h.state.Load().find(func(v *Verified) bool { return v.Head.Version == version })
 }
 
-// ByHead returns the bundle of exactly that version and hash, or nil.
+// ByHead returns the current or a previous bundle of exactly that version and
+// hash, or nil.
 func (h *Holder) ByHead(head wire.BundleHead) *Verified {
 	return h.state.Load().find(func(v *Verified) bool { return v.Head == head })
 }
 
-// Head names the bundle in force; it is zero before the holder has settled.
+// Head identifies the bundle in force; it is zero while the holder is collecting.
 func (h *Holder) Head() wire.BundleHead {
 	if v := h.Current(); v != nil {
 		return v.Head
@@ -103,7 +107,7 @@
 }
 
 // Conflict returns the conflict on the version in force, or on the best
-// candidate while settling; nil if there is none.
+// candidate's version while the holder is collecting; nil if there is none.
 func (h *Holder) Conflict() *Conflict {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,9 +117,10 @@
 	return &Conflict{Version: h.conflict.Version, Hashes: slices.Clone(h.conflict.Hashes)}
 }
 
-// Wants tells whether the bundle of an advertised head is worth fetching: it
-// is newer than the best one here, or a rival of it that was not seen before.
-func (h *Holder) Wants(head wire.BundleHead) bool {
+// ShouldFetch reports whether the bundle of an advertised head should be fetched: its
+// version is higher than that of the best bundle held, or it is unseen content
+// of the same version.
+func (h *Holder) ShouldFetch(head wire.BundleHead) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	best := h.best()
@@ -128,9 +133,9 @@
 	return h.conflict == nil || !slices.Contains(h.conflict.Hashes, head.Hash)
 }
 
-// Offer verifies a published value and adopts it if it is newer than what is
-// held. While the holder is settling, it only collects. Source names the
-// origin for the log.
+// Offer verifies a published value and adopts it if it supersedes the bundle in
+// force. While the holder is collecting, the value only becomes the candidate.
+// source names the origin for the log.
 func (h *Holder) Offer(now time.Time, signed []byte, source string) Adoption {
 	a := Adoption{At: now, Source: source}
 	v, err := h.verify(signed)
@@ -138,21 +143,22 @@
 	defer h.mu.Unlock()
 	if err != nil {
 		a.Err = err
-		a.Result = resultOf(err)
+		a.Result = classifyError(err)
 		a.Reason = err.Error()
 		a.Held = headOf(h.best())
 		return a
 	}
 	a.Offered = v.Head
-	a.Result, a.Conflict = h.judge(v)
+	a.Result, a.Conflict = h.applyOffer(v)
 	a.Held = headOf(h.best())
 	a.Reason = a.describe()
 	return a
 }
 
-// Settle ends the collection and adopts the best candidate. If nothing was
-// collected, it reports ResultNothing and the holder goes on settling; call it
-// again later. Once settled, it changes nothing and reports ResultHeld.
+// Settle ends the collection and adopts the best candidate. If there is none,
+// it reports ResultNothing and the holder continues to collect; call it again
+// later. If a bundle is already in force, it changes nothing and reports
+// ResultHeld.
 func (h *Holder) Settle(now time.Time) Adoption {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -172,8 +178,8 @@
 	return a
 }
 
-// verify skips the work for a value that is held byte by byte, which is what
-// peers and watches deliver most of the time.
+// verify calls Verify unless the value is identical to the bundle in force,
+// which is what peers and watches deliver most of the time.
 func (h *Holder) verify(signed []byte) (*Verified, error) {
 	if v := h.Current(); v != nil && bytes.Equal(v.Signed, signed) {
 		return v, nil
@@ -181,7 +187,8 @@
 	return Verify(h.keys, signed)
 }
 
-// best returns the bundle in force, or the best candidate while settling.
+// best returns the bundle in force, or the best candidate while the holder is
+// collecting. The caller holds mu.
 func (h *Holder) best() *Verified {
 	if v := h.Current(); v != nil {
 		return v
@@ -189,71 +196,71 @@
 	return h.candidate
 }
 
-// judge compares a verified offer with the best bundle here, takes it in if it
-// is later, and tells whether the two are in conflict.
-func (h *Holder) judge(v *Verified) (AdoptionResult, bool) {
+// applyOffer compares a verified offer with the best bundle held, accepts it if
+// it supersedes that one, and reports whether the version is in conflict.
+func (h *Holder) applyOffer(v *Verified) (AdoptionResult, bool) {
 	best := h.best()
 	switch {
 	case best == nil || v.Head.Version > best.Head.Version:
 		h.conflict = nil
-		return h.take(v, ResultAdopted), false
+		return h.accept(v, ResultAdopted), false
 	case v.Head.Version < best.Head.Version:
 		return ResultOlder, false
 	case v.Head.Hash == best.Head.Hash:
 		return ResultHeld, h.conflict != nil
 	}
-	h.noteConflict(best.Head, v.Head)
+	h.recordConflict(best.Head, v.Head)
 	if v.Head.Hash > best.Head.Hash {
 		return ResultConflictRefused, true
 	}
-	return h.take(v, ResultConflictReplaced), true
+	return h.accept(v, ResultConflictReplaced), true
 }
 
-// take adopts v, or makes it the candidate while settling. It returns the
-// matching result.
-func (h *Holder) take(v *Verified, adopted AdoptionResult) AdoptionResult {
+// accept adopts v and returns the given result. While the holder is collecting,
+// it makes v the candidate and returns ResultCollected.
+func (h *Holder) accept(v *Verified, ifAdopted AdoptionResult) AdoptionResult {
 	if h.Current() == nil {
 		h.candidate = v
 		return ResultCollected
 	}
 	h.adopt(v)
-	return adopted
+	return ifAdopted
 }
 
-// adopt puts v in force and keeps the one before it for requests that began
-// under it.
+// adopt puts v in force and keeps the bundle that it replaces for requests that
+// began under it.
 func (h *Holder) adopt(v *Verified) {
 	old := h.state.Load()
-	next := &held{current: v}
+	next := &holderState{current: v}
 	if old.current != nil {
-		next.earlier = append([]*Verified{old.current}, old.earlier...)
+		next.previous = append([]*Verified{old.current}, old.previous...)
 	}
-	if len(next.earlier) > maxEarlier {
-		next.earlier = next.earlier[:maxEarlier]
+	if len(next.previous) > maxPreviousBundles {
+		next.previous = next.previous[:maxPreviousBundles]
 	}
 	h.candidate = nil
 	h.state.Store(next)
 }
 
-// noteConflict remembers the contents seen of one version.
-func (h *Holder) noteConflict(heads ...wire.BundleHead) {
+// recordConflict adds the hashes of heads, which have one version, to the conflict.
+func (h *Holder) recordConflict(heads ...wire.BundleHead) {
 	if h.conflict == nil {
 		h.conflict = &Conflict{Version: heads[0].Version}
 	}
 	for _, head := range heads {
 		known := slices.Contains(h.conflict.Hashes, head.Hash)
-		if !known && len(h.conflict.Hashes) < maxRivals {
+		if !known && len(h.conflict.Hashes) < maxConflictHashes {
 			h.conflict.Hashes = append(h.conflict.Hashes, head.Hash)
 		}
 	}
 }
 
 // find returns the latest adopted bundle that matches, or nil.
-func (s *held) find(match func(*Verified) bool) *Verified {
+func (s *holderState) find(match func(*Verified) bool) *Verified {
 	if s.current != nil && match(s.current) {
 		return s.current
 	}
-	for _, v := range s.earlier {
+	for _, v := range s.previous {
 		if match(v) {
 			return v
 		}
--- a/bundle/holder_test.go
+++ b/bundle/holder_test.go
@@ -13,7 +13,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newTestHolder returns a holder and a function that signs for it.
+// newTestHolder returns a holder and a function that signs bundles with the key
+// that it accepts.
 func newTestHolder(t *testing.T) (*Holder, func(version uint64, content string) []byte) {
 	t.Helper()
 	pub, priv := testKey(1)
@@ -22,9 +23,9 @@
 	}
 }
 
-// Story: a fresh process reads version 7 from a stale configuration service
-// while its peers have 8 in force. If it served under 7 until a peer spoke,
-// callers would meet an old bundle again. It collects from both first.
+// A process that has just started reads version 7 from a stale configuration
+// service while its peers have version 8 in force. It must collect from both
+// before it chooses, or it would serve requests under an old bundle.
 func TestFreshProcessSettlesOnTheHighest(t *testing.T) {
 	h, sign := newTestHolder(t)
 	assert.Equal(t, h.Settle(epoch).Result, ResultNothing)
@@ -38,14 +39,14 @@
 	assert.Equal(t, h.Settle(epoch).Result, ResultHeld)
 }
 
-// Story: a process held version 9 and was cut off with a configuration service
-// that went back to 8. Whatever is offered afterwards, 9 stays, and a request
-// that began under an earlier version still finds it.
+// A stale configuration service may offer a version below the one held. The
+// holder must keep the higher version, and a request that began under a previous
+// version must still find that bundle.
 func TestNeverGoesBack(t *testing.T) {
 	h, sign := newTestHolder(t)
 	h.Offer(epoch, sign(1, "a"), "platform")
 	h.Settle(epoch)
-	last := uint64(maxEarlier + 3)
+	last := uint64(maxPreviousBundles + 3)
 	for v := uint64(2); v <= last; v++ {
 		a := h.Offer(epoch, sign(v, "a"), "platform")
 		assert.Equal(t, a.Result, ResultAdopted, a.Reason)
@@ -55,15 +56,16 @@
 	assert.Equal(t, a.Held.Version, last)
 	assert.Equal(t, h.Offer(epoch, sign(last, "a"), "peer").Result, ResultHeld)
 	assert.Equal(t, h.ByVersion(last-1).Head.Version, last-1)
-	assert.Equal(t, h.ByVersion(last-maxEarlier).Head.Version, last-maxEarlier)
-	assert.Assert(t, h.ByVersion(last-maxEarlier-1) == nil, "earlier versions are bounded")
+	assert.Equal(t, h.ByVersion(last-maxPreviousBundles).Head.Version, last-maxPreviousBundles)
+	assert.Assert(t, h.ByVersion(last-maxPreviousBundles-1) == nil, "earlier versions are bounded")
 	assert.Assert(t, h.ByHead(h.Head()) == h.Current())
 	assert.Assert(t, h.ByHead(wire.BundleHead{Version: last}) == nil)
 }
 
-// Story: two operators publish version 5 at once. Some processes read one
-// content first, some the other, and peers go on repeating what they hold. All
-// must end with the same content without alternating, and all must say so.
+// Two operators publish different contents as version 5 at the same time. Some
+// processes read one content first, some the other, and peers keep repeating
+// what they hold. All must converge on one content without alternating, and all
+// must report the conflict.
 func TestConflictConverges(t *testing.T) {
 	one, sign := newTestHolder(t)
 	two, _ := newTestHolder(t)
@@ -78,7 +80,7 @@
 		low, high = high, low
 	}
 	for range 3 {
-		assert.Assert(t, two.Wants(one.Head()) || two.Head() == one.Head())
+		assert.Assert(t, two.ShouldFetch(one.Head()) || two.Head() == one.Head())
 		a := two.Offer(epoch, low, "peer")
 		assert.Assert(t, a.Conflict)
 		a = two.Offer(epoch, high, "peer")
@@ -89,7 +91,7 @@
 		assert.Equal(t, one.Head(), two.Head())
 	}
 	assert.Equal(t, len(one.Conflict().Hashes), 2)
-	assert.Assert(t, !one.Wants(wire.BundleHead{Version: 5, Hash: two.Conflict().Hashes[0]}))
+	assert.Assert(t, !one.ShouldFetch(wire.BundleHead{Version: 5, Hash: two.Conflict().Hashes[0]}))
 	assert.Equal(t, two.ByVersion(5), two.Current())
 
 	a := one.Offer(epoch, sign(6, "c"), "platform")
@@ -103,14 +105,14 @@
 	h.Offer(epoch, sign(1, "a"), "platform")
 	h.Settle(epoch)
 	_, priv := testKey(1)
-	_, stranger := testKey(2)
+	_, otherKey := testKey(2)
 	unchecked, err := Sign(priv, []byte("version: 2\n"))
 	assert.NilError(t, err)
 	for _, c := range []struct {
 		signed []byte
 		want   AdoptionResult
 	}{
-		{signedSample(t, stranger, 2, "a"), ResultBadSignature},
+		{signedSample(t, otherKey, 2, "a"), ResultBadSignature},
 		{sign(2, "a")[:100], ResultMalformed},
 		{make([]byte, MaxBytes+1), ResultMalformed},
 		{unchecked, ResultBadContent},
@@ -122,8 +124,8 @@
 	}
 }
 
-// Readers take no lock; under the race detector this also shows that adoption
-// publishes complete bundles only.
+// Readers take no lock. Under the race detector this also verifies that readers
+// only see completely adopted bundles.
 func TestConcurrentOffersAndReads(t *testing.T) {
 	h, sign := newTestHolder(t)
 	const versions = 8
--- a/bundle/jsonschema.go
+++ b/bundle/jsonschema.go
@@ -10,7 +10,7 @@
 const (
 	schemaDialect = "https://json-schema.org/draft/2020-12/schema"
 	schemaTitle   = "mangostage bundle"
-	// durationPattern is what time.ParseDuration takes, without a sign.
+	// durationPattern matches what time.ParseDuration accepts, without a sign.
 	durationPattern = `^([0-9]+(\.[0-9]*)?(ns|us|µs|ms|s|m|h))+$|^0$`
 )
 
@@ -21,22 +21,23 @@
 	Type       string                 `json:"type"`
 	Properties map[string]*schemaNode `json:"properties,omitempty"`
 	Required   []string               `json:"required,omitempty"`
-	// Closed is false, and written, for objects that take no other property.
-	Closed  *bool       `json:"additionalProperties,omitempty"`
-	Items   *schemaNode `json:"items,omitempty"`
-	Enum    []string    `json:"enum,omitempty"`
-	Pattern string      `json:"pattern,omitempty"`
-	Minimum *int        `json:"minimum,omitempty"`
-	Default any         `json:"default,omitempty"`
+	// AdditionalProperties points to false for objects, which allow no unlisted
+	// property; nil, and omitted, for all other types.
+	AdditionalProperties *bool       `json:"additionalProperties,omitempty"`
+	Items                *schemaNode `json:"items,omitempty"`
+	Enum                 []string    `json:"enum,omitempty"`
+	Pattern              string      `json:"pattern,omitempty"`
+	Minimum              *int        `json:"minimum,omitempty"`
+	Default              any         `json:"default,omitempty"`
 }
 
-// schemaEnums lists the values of the types that have few.
+// schemaEnums lists the allowed values of the enumerated types.
 var schemaEnums = map[reflect.Type][]string{
 	reflect.TypeFor[PolicyName](): {string(PolicyAdaptive), string(PolicyNaive)},
 	reflect.TypeFor[Protocol]():   {string(ProtocolEngine), string(ProtocolService)},
 }
 
-// schemaRequired lists the fields, by type, without which Check has a finding.
+// schemaRequired lists, by type, the fields whose absence is a finding of Check.
 var schemaRequired = map[reflect.Type][]string{
 	reflect.TypeFor[Bundle]():   {"version"},
 	reflect.TypeFor[Account]():  {"name", "credential_sha256"},
@@ -46,8 +47,8 @@
 	reflect.TypeFor[Stage]():    {"name", "pool"},
 }
 
-// JSONSchema returns the JSON Schema of a YAML bundle, for editors. It knows
-// the form only; Check knows the meaning too.
+// JSONSchema returns the JSON Schema of a YAML bundle, for editors. It covers
+// only names, types, patterns and enumerations; Check validates the content as well.
 func JSONSchema() ([]byte, error) {
 	var b Bundle
 	b.setDefaults()
@@ -63,7 +64,7 @@
 	return out.Bytes(), nil
 }
 
-// schemaOf describes the type of v. Its value is the default.
+// schemaOf returns the schema of v's type; v's value is the default.
 func schemaOf(v reflect.Value) *schemaNode {
 	if v.Type() == reflect.TypeFor[Duration]() {
 		return &schemaNode{Type: "string", Pattern: durationPattern, Default: defaultOf(v)}
@@ -91,10 +92,10 @@
 func structSchema(v reflect.Value) *schemaNode {
 	closed := false
 	node := &schemaNode{
-		Type:       "object",
-		Properties: make(map[string]*schemaNode),
-		Required:   schemaRequired[v.Type()],
-		Closed:     &closed,
+		Type:                 "object",
+		Properties:           make(map[string]*schemaNode),
+		Required:             schemaRequired[v.Type()],
+		AdditionalProperties: &closed,
 	}
 	for i := range v.NumField() {
 		name, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("yaml"), ",")
@@ -112,7 +113,7 @@
 	return p.Elem()
 }
 
-// defaultOf returns the value as the default, or nothing if it is zero.
+// defaultOf returns v's value, or nil if it is zero, so that the schema omits it.
 func defaultOf(v reflect.Value) any {
 	if v.IsZero() {
 		return nil
--- a/bundle/jsonschema_test.go
+++ b/bundle/jsonschema_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, string(got), string(want), "write it anew: go run ./cmd/mangostage bundle schema > docs/bundle.schema.json")
 }
 
-// collect gathers the names of all properties below a node.
+// collect adds the names of all properties below a node to names.
 func (n *schemaNode) collect(names map[string]bool) {
 	if n.Items != nil {
 		n.Items.collect(names)
@@ -45,8 +45,8 @@
 	assert.DeepEqual(t, got, want)
 }
 
-// leastBundle has what the schema requires, one field a line, and no more.
-const leastBundle = `version: 1
+// minimalBundle has only the fields that the schema requires, one per line.
+const minimalBundle = `version: 1
 accounts:
   -
     name: shop
@@ -68,10 +68,10 @@
         pool: engines
 `
 
-// An editor that marks what the daemons accept, or passes what they refuse,
-// would be worse than none: what the schema requires is what Check requires.
+// The schema must require exactly the fields that Check requires, or an editor
+// would mark what the daemons accept, or accept what they refuse.
 func TestSchemaRequiresWhatCheckDoes(t *testing.T) {
-	_, err := Check("b", []byte(leastBundle))
+	_, err := Check("b", []byte(minimalBundle))
 	assert.NilError(t, err)
 	required := 0
 	var count func(n *schemaNode)
@@ -86,18 +86,18 @@
 	}
 	count(parsedSchema(t))
 	lines := 0
-	for line := range strings.Lines(leastBundle) {
+	for line := range strings.Lines(minimalBundle) {
 		_, value, _ := strings.Cut(line, ": ")
 		if value == "" {
 			continue
 		}
 		lines++
-		_, err := Check("b", []byte(strings.Replace(leastBundle, line, "", 1)))
+		_, err := Check("b", []byte(strings.Replace(minimalBundle, line, "", 1)))
 		assert.Assert(t, err != nil, "Check does not miss %q", line)
 	}
 	// The list of stages is required too, and has no line with a value.
 	assert.Equal(t, required, lines+1)
-	_, err = Check("b", []byte(leastBundle[:strings.Index(leastBundle, "    stages:")]))
+	_, err = Check("b", []byte(minimalBundle[:strings.Index(minimalBundle, "    stages:")]))
 	assert.Assert(t, err != nil, "Check does not miss the stages")
 }
 
@@ -106,13 +106,13 @@
 	policies := root.Properties["policy"].Properties["name"].Enum
 	protocols := root.Properties["pools"].Items.Properties["protocol"].Enum
 	for _, name := range policies {
-		_, err := Check("b", []byte(leastBundle+"policy: {name: "+name+"}\n"))
+		_, err := Check("b", []byte(minimalBundle+"policy: {name: "+name+"}\n"))
 		assert.NilError(t, err)
 	}
 	for _, name := range protocols {
-		_, err := Check("b", []byte(strings.Replace(leastBundle, "    name: engines\n", "    name: engines\n    protocol: "+name+"\n", 1)))
+		_, err := Check("b", []byte(strings.Replace(minimalBundle, "    name: engines\n", "    name: engines\n    protocol: "+name+"\n", 1)))
 		assert.Assert(t, err == nil || !strings.Contains(err.Error(), "protocol \""), "%s: %v", name, err)
 	}
-	_, err := Check("b", []byte(leastBundle+"policy: {name: other}\n"))
+	_, err := Check("b", []byte(minimalBundle+"policy: {name: other}\n"))
 	assert.Assert(t, err != nil)
 }
--- a/bundle/keys.go
+++ b/bundle/keys.go
@@ -15,10 +15,10 @@
 	publicBlock  = "PUBLIC KEY"
 )
 
-// keyIDBytes is how much of a key's hash its ID shows.
+// keyIDBytes is the number of bytes of a key's SHA-256 hash in its ID.
 const keyIDBytes = 8
 
-// GenerateKey draws a new key pair from the operating system's random source.
+// GenerateKey generates a key pair from the operating system's random source.
 func GenerateKey() (ed25519.PublicKey, ed25519.PrivateKey, error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -27,13 +27,13 @@
 	return pub, priv, nil
 }
 
-// KeyID returns the short name by which an envelope refers to a key.
+// KeyID returns the hex ID by which an envelope refers to a key.
 func KeyID(key ed25519.PublicKey) string {
 	sum := sha256.Sum256(key)
 	return hex.EncodeToString(sum[:keyIDBytes])
 }
 
-// MarshalPrivateKey writes a key as PKCS #8 in PEM.
+// MarshalPrivateKey encodes a key as PKCS #8 in PEM.
 func MarshalPrivateKey(key ed25519.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return pem.EncodeToMemory(&pem.Block{Type: privateBlock, Bytes: der}), nil
 }
 
-// MarshalPublicKey writes a key as PKIX in PEM.
+// MarshalPublicKey encodes a key as PKIX in PEM.
 func MarshalPublicKey(key ed25519.PublicKey) ([]byte, error) {
 	der, err := x509.MarshalPKIXPublicKey(key)
 	if err != nil {
@@ -69,7 +69,7 @@
 }
 
 // LoadPublicKeys reads one or more Ed25519 keys as PKIX in PEM, or returns
-// ErrKey. Several allow a change of key: bundles signed by any are accepted.
+// ErrKey. Several keys allow key rotation: bundles signed by any are accepted.
 func LoadPublicKeys(data []byte) ([]ed25519.PublicKey, error) {
 	var keys []ed25519.PublicKey
 	for {
--- a/bundle/nesting.go
+++ b/bundle/nesting.go
@@ -7,77 +7,79 @@
 	"github.com/mangostage/mangostage/finding"
 )
 
-// maxNesting is far more than a bundle's own depth of five.
+// maxNesting is the allowed depth, far above a bundle's own depth of five.
 const maxNesting = 64
 
-// scan looks at the file's tokens before they are parsed and reports whether
-// parsing is safe.
+// checkNesting checks the file's tokens before they are parsed and reports
+// whether parsing is safe.
 //
 // It guards against a file of, say, a megabyte of opening brackets: the YAML
 // parser recurses for each, takes minutes and can end the process by stack
-// exhaustion, which no recover catches. Each level of its recursion opens with
-// a bracket, a deeper indentation, an entry, key or colon on one line, or an
-// anchor or tag. The last two are refused outright and the others are bounded
+// exhaustion, which recover cannot catch. Each level of its recursion starts
+// with a bracket, a deeper indentation, an entry, key or colon on one line, or
+// an anchor or tag. Anchors and tags are refused and the others are bounded
 // here, which bounds the recursion.
-func (d *decoder) scan(data []byte) bool {
+func (d *decoder) checkNesting(data []byte) bool {
 	n := nesting{}
 	safe := true
 	for _, tk := range lexer.Tokenize(string(data)) {
 		switch tk.Type {
 		case token.AnchorType, token.AliasType, token.TagType, token.MergeKeyType:
-			d.findings.Add(d.at(tk), "anchors, aliases, merge keys and tags are not allowed")
+			d.findings.Add(d.tokenPlace(tk), "anchors, aliases, merge keys and tags are not allowed")
 			safe = false
 			continue
 		}
-		n.add(tk)
+		n.addToken(tk)
 		if n.depth() > maxNesting {
-			d.findings.Add(d.at(tk), "nested more than %d levels deep", maxNesting)
+			d.findings.Add(d.tokenPlace(tk), "nested more than %d levels deep", maxNesting)
 			return false
 		}
 	}
 	return safe
 }
 
-// at returns where a token stands.
-func (d *decoder) at(tk *token.Token) finding.Place {
+// tokenPlace returns the place of a token in the file.
+func (d *decoder) tokenPlace(tk *token.Token) finding.Place {
 	return finding.Place{File: d.file, Line: tk.Position.Line, Column: tk.Position.Column}
 }
 
-// nesting bounds from above how deep a parser is in its recursion.
+// nesting computes an upper bound of the parser's recursion depth at a token.
 type nesting struct {
-	// flow is the number of open brackets.
-	flow int
-	// indents are the columns of the lines around the present one.
+	// openBrackets is the number of open brackets.
+	openBrackets int
+	// indents are the start columns of the current line and of the less indented
+	// lines that enclose it.
 	indents []int
-	line    int
-	// chain is the number of entries, keys and colons that may be nested
-	// within one another on the present line.
-	chain int
+	// line is the number of the current line.
+	line int
+	// lineDepth is the number of entries, keys and colons since the start of the
+	// line or the last comma; each may be nested in the one before it.
+	lineDepth int
 }
 
 func (n *nesting) depth() int {
-	return n.flow + len(n.indents) + n.chain
+	return n.openBrackets + len(n.indents) + n.lineDepth
 }
 
-func (n *nesting) add(tk *token.Token) {
-	if n.flow == 0 && tk.Position.Line != n.line {
+func (n *nesting) addToken(tk *token.Token) {
+	if n.openBrackets == 0 && tk.Position.Line != n.line {
 		n.startLine(tk.Position)
 	}
 	switch tk.Type {
 	case token.SequenceStartType, token.MappingStartType:
-		n.flow++
+		n.openBrackets++
 	case token.SequenceEndType, token.MappingEndType:
-		n.flow = max(0, n.flow-1)
+		n.openBrackets = max(0, n.openBrackets-1)
 	case token.CollectEntryType:
-		n.chain = 0
+		n.lineDepth = 0
 	case token.SequenceEntryType, token.MappingKeyType, token.MappingValueType:
-		n.chain++
+		n.lineDepth++
 	}
 }
 
 func (n *nesting) startLine(pos *token.Position) {
 	n.line = pos.Line
-	n.chain = 0
+	n.lineDepth = 0
 	for len(n.indents) > 0 && n.indents[len(n.indents)-1] >= pos.Column {
 		n.indents = n.indents[:len(n.indents)-1]
 	}
--- a/bundle/page_test.go
+++ b/bundle/page_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// fieldNames collects the YAML names of all fields below a type.
+// fieldNames adds the YAML names of all fields of a type, and of the types of
+// its fields, to names.
 func fieldNames(t reflect.Type, names map[string]bool) {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Pointer:
--- a/bundle/position.go
+++ b/bundle/position.go
@@ -2,30 +2,32 @@
 
 import "github.com/mangostage/mangostage/finding"
 
-// position is where a value stands in the file. It forms a tree in the shape
-// of the YAML, so that a check can report the place of the node it judges.
+// position is the place of a value in the file. Positions form a tree with the
+// structure of the YAML, so that a check can report the place of the node that
+// it validates.
 type position struct {
 	place finding.Place
-	// faulty values have a finding of their own already; judging what was
-	// read of them would only report the same mistake again.
-	faulty bool
-	fields map[string]*position
-	items  []*position
+	// invalid is true if a finding has been added for the value; checks skip it,
+	// because they would report the same mistake again.
+	invalid bool
+	fields  map[string]*position
+	items   []*position
 }
 
 // field returns the position of a field's value, or that of the mapping
-// itself where the field is omitted.
+// itself if the field is omitted.
 func (p *position) field(name string) *position {
 	if f, ok := p.fields[name]; ok {
 		return f
 	}
-	return &position{place: p.place, faulty: p.faulty}
+	return &position{place: p.place, invalid: p.invalid}
 }
 
-// item returns the position of a list's item, or that of the list.
+// item returns the position of an item of a list, or that of the list if there
+// is no such item.
 func (p *position) item(i int) *position {
 	if i < len(p.items) {
 		return p.items[i]
 	}
-	return &position{place: p.place, faulty: p.faulty}
+	return &position{place: p.place, invalid: p.invalid}
 }
--- a/bundle/scalar.go
+++ b/bundle/scalar.go
@@ -9,28 +9,28 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-var textType = reflect.TypeFor[encoding.TextUnmarshaler]()
+var textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// isText tells whether v reads itself from text.
-func isText(v reflect.Value) bool {
-	return v.CanAddr() && v.Addr().Type().Implements(textType)
+// unmarshalsText reports whether v implements encoding.TextUnmarshaler.
+func unmarshalsText(v reflect.Value) bool {
+	return v.CanAddr() && v.Addr().Type().Implements(textUnmarshalerType)
 }
 
-// text reads a scalar into a value that unmarshals itself.
-func (d *decoder) text(node ast.Node, v reflect.Value, pos *position) {
+// decodeText decodes a scalar into a value that implements encoding.TextUnmarshaler.
+func (d *decoder) decodeText(node ast.Node, v reflect.Value, pos *position) {
 	s, ok := stringOf(node)
 	if !ok {
-		d.fault(pos, "expected text such as 4s, found %s", kindOf(node))
+		d.markInvalid(pos, "expected text such as 4s, found %s", kindOf(node))
 		return
 	}
 	target := v.Addr().Interface().(encoding.TextUnmarshaler)
 	if err := target.UnmarshalText([]byte(s)); err != nil {
-		d.fault(pos, "%v", err)
+		d.markInvalid(pos, "%v", err)
 	}
 }
 
-// scalar reads a string, number or boolean.
-func (d *decoder) scalar(node ast.Node, v reflect.Value, pos *position) {
+// decodeScalar decodes a string, number or boolean into v.
+func (d *decoder) decodeScalar(node ast.Node, v reflect.Value, pos *position) {
 	ok := false
 	want := ""
 	switch v.Kind() {
@@ -64,7 +64,7 @@
 		panic("bundle: schema uses an unsupported kind: " + v.Kind().String())
 	}
 	if !ok {
-		d.fault(pos, "expected %s, found %s", want, kindOf(node))
+		d.markInvalid(pos, "expected %s, found %s", want, kindOf(node))
 	}
 }
 
@@ -117,7 +117,7 @@
 	return 0, false
 }
 
-// kindOf names a node's kind for a finding.
+// kindOf returns the name of a node's kind, with an article, for a finding.
 func kindOf(node ast.Node) string {
 	switch node.(type) {
 	case *ast.StringNode, *ast.LiteralNode:
@@ -140,19 +140,20 @@
 	return "a " + node.Type().YAMLName()
 }
 
-// maxTypos is the largest edit distance at which a name is suggested.
-const maxTypos = 2
+// maxSuggestDistance is the largest edit distance at which a name is suggested.
+const maxSuggestDistance = 2
 
-// suggestion returns "; did you mean …" for a likely misspelling, or nothing.
+// suggestion returns "; did you mean …?" with the known name that is closest to
+// name, or "" if none is within maxSuggestDistance.
 func suggestion(name string, known map[string]int) string {
 	candidates := make([]string, 0, len(known))
 	for k := range known {
 		candidates = append(candidates, k)
 	}
 	sort.Strings(candidates)
-	best, nearest := "", maxTypos+1
+	best, nearest := "", maxSuggestDistance+1
 	for _, c := range candidates {
-		if d := distance(name, c); d < nearest {
+		if d := editDistance(name, c); d < nearest {
 			best, nearest = c, d
 		}
 	}
@@ -162,8 +163,8 @@
 	return "; did you mean " + best + "?"
 }
 
-// distance is the Levenshtein distance between a and b in bytes.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance between a and b in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/bundle/schema.go
+++ b/bundle/schema.go
@@ -1,6 +1,6 @@
-// Package bundle defines the operator's versioned description of pipelines,
-// pools, client accounts and policy: its schema, checks, signature and the
-// rule by which a process adopts a newer one.
+// Package bundle defines the bundle, the operator's versioned configuration of
+// pipelines, pools, client accounts and policy: its schema, validation and
+// signature, and the rule by which a process adopts a newer version.
 package bundle
 
 import (
@@ -15,8 +15,8 @@
 	MaxStages = 6
 )
 
-// Bundle is one version of everything that operators decide. A Bundle is
-// immutable once decoded; processes share pointers to it.
+// Bundle is one version of the operator's configuration. It is immutable once
+// decoded, so that pointers to it can be shared.
 type Bundle struct {
 	// Version orders bundles; a process adopts only a higher one.
 	Version     uint64     `yaml:"version" json:"version"`
@@ -28,13 +28,13 @@
 	Pipelines   []Pipeline `yaml:"pipelines" json:"pipelines"`
 }
 
-// PolicyName selects the set of decision plug-ins in force.
+// PolicyName selects the set of decision plug-ins that processes use.
 type PolicyName string
 
 // The policies.
 const (
 	PolicyAdaptive PolicyName = "adaptive"
-	// PolicyNaive is round robin, fixed timeout, three retries: the baseline.
+	// PolicyNaive is the baseline: round robin, a fixed timeout, three retries.
 	PolicyNaive PolicyName = "naive"
 )
 
@@ -51,7 +51,7 @@
 	// CrashLimit is the number of endpoint crashes after which a request's
 	// content is refused.
 	CrashLimit int `yaml:"crash_limit" json:"crash_limit"`
-	// Affinity weighs prefix-cache affinity against load, 0 to 1.
+	// Affinity is the weight of prefix-cache affinity against load, 0 to 1.
 	Affinity float64 `yaml:"affinity" json:"affinity"`
 	// DrainAfter is how long an endpoint may take to stop accepting once it
 	// is listed as leaving.
@@ -76,7 +76,7 @@
 	// Priority orders accounts under load; higher first.
 	Priority int   `yaml:"priority" json:"priority"`
 	Limit    Limit `yaml:"limit" json:"limit"`
-	// Pipelines the account may call; empty means all.
+	// Pipelines are the pipelines that the account may call; empty means all.
 	Pipelines []string `yaml:"pipelines" json:"pipelines,omitempty"`
 }
 
@@ -87,7 +87,7 @@
 	InFlight          int     `yaml:"in_flight" json:"in_flight"`
 }
 
-// Operator may use the administration API.
+// Operator is an operator, who may use the administration API.
 type Operator struct {
 	Name             string   `yaml:"name" json:"name"`
 	CredentialSHA256 []string `yaml:"credential_sha256" json:"credential_sha256"`
@@ -104,8 +104,8 @@
 	ProtocolService Protocol = "service"
 )
 
-// Pool is a set of interchangeable endpoints. Which endpoints are alive is
-// the platform's word; the bundle says only what they are for.
+// Pool is a set of interchangeable endpoints. The platform lists which endpoints
+// are alive; the bundle only describes their purpose.
 type Pool struct {
 	Name     string   `yaml:"name" json:"name"`
 	Protocol Protocol `yaml:"protocol" json:"protocol"`
@@ -115,19 +115,19 @@
 	Concurrency int `yaml:"concurrency" json:"concurrency"`
 	// Queue is how many calls may wait at one agent.
 	Queue int `yaml:"queue" json:"queue"`
-	// Models that engines of the pool hold.
+	// Models are the models that the pool's engines hold.
 	Models []string `yaml:"models" json:"models,omitempty"`
 	// Slots names the endpoints that own idempotency keys of unrepeatable
 	// stages in this pool; required when such a stage uses the pool.
 	Slots []string `yaml:"slots" json:"slots,omitempty"`
-	// Fencing tells whether the engines refuse orders with an old number.
+	// Fencing is true if the engines refuse orders with an outdated fencing number.
 	Fencing bool `yaml:"fencing" json:"fencing,omitempty"`
 }
 
 // Pipeline is a sequence of stages under one deadline.
 type Pipeline struct {
 	Name string `yaml:"name" json:"name"`
-	// Deadline is from acceptance to the last byte of the answer.
+	// Deadline is the time from acceptance to the last byte of the answer.
 	Deadline Duration `yaml:"deadline" json:"deadline"`
 	// MaxBody is the largest request body in bytes.
 	MaxBody int     `yaml:"max_body" json:"max_body"`
@@ -138,7 +138,7 @@
 type Stage struct {
 	Name string `yaml:"name" json:"name"`
 	Pool string `yaml:"pool" json:"pool"`
-	// Model is the one that an engine stage needs.
+	// Model is the model that an engine stage needs.
 	Model string `yaml:"model" json:"model,omitempty"`
 	// Typical is the expected service time, used until times are measured.
 	Typical Duration `yaml:"typical" json:"typical"`
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -19,8 +19,8 @@
 	errs = errorx.NewNamespace("bundle")
 	// ErrOversized is returned for a value over MaxBytes.
 	ErrOversized = errs.NewType("oversized")
-	// ErrTruncated is returned for a value that ends early, as when it was
-	// read while half written.
+	// ErrTruncated is returned for a value that ends early, such as one that was
+	// read while it was being written.
 	ErrTruncated = errs.NewType("truncated")
 	// ErrMalformed is returned for a value that is not a signed bundle.
 	ErrMalformed = errs.NewType("malformed")
@@ -30,25 +30,25 @@
 	ErrUnknownKey = errs.NewType("unknown_key")
 	// ErrSignature is returned when the signature does not match the content.
 	ErrSignature = errs.NewType("bad_signature")
-	// ErrContent is returned for a correctly signed bundle that fails its
-	// check; it wraps a finding.List.
+	// ErrContent is returned for a correctly signed bundle that fails Check; it
+	// wraps a finding.List.
 	ErrContent = errs.NewType("bad_content")
-	// ErrKey is returned for a key that cannot be read or made.
+	// ErrKey is returned for a key that cannot be parsed, encoded or generated.
 	ErrKey = errs.NewType("key")
 )
 
 // formatVersion is the version of the signed envelope.
 const formatVersion = 1
 
-// signatureDomain starts every signed message. It keeps a signature made for
-// another purpose, or for another version of the envelope, from passing as a
-// signature of a bundle.
+// signatureDomain is the prefix of every signed message. It keeps a signature
+// made for another purpose, or for another version of the envelope, from being
+// valid for a bundle.
 const signatureDomain = "mangostage bundle envelope 1\x00"
 
-// payloadName is the file name in findings on a signed bundle's content.
-const payloadName = "bundle"
+// payloadFileName is the file name shown in findings on a signed bundle's content.
+const payloadFileName = "bundle"
 
-// envelope is the published value.
+// envelope is the signed value as published in the configuration service, in JSON.
 type envelope struct {
 	Format    int    `json:"format"`
 	KeyID     string `json:"key_id"`
@@ -56,17 +56,18 @@
 	Signature []byte `json:"signature"`
 }
 
-// Verified is a bundle whose signature and content are proved good. It is immutable.
+// Verified is a bundle whose signature and content have been verified. It is immutable.
 type Verified struct {
 	Bundle *Bundle
-	// Head names the bundle; its hash is the hex SHA-256 of the YAML.
+	// Head identifies the bundle; its hash is the hex SHA-256 of the YAML.
 	Head wire.BundleHead
-	// Signed is the value as published, to pass on to others.
+	// Signed is the value as published, to be passed on to peers.
 	Signed []byte
 }
 
 // Sign returns the value to publish: the YAML with a signature by priv. It
-// does not check the YAML; every process that is offered the value does.
+// does not check the YAML; every process that is offered the value does. The
+// error is ErrKey or ErrOversized.
 func Sign(priv ed25519.PrivateKey, yaml []byte) ([]byte, error) {
 	if len(priv) != ed25519.PrivateKeySize {
 		return nil, ErrKey.New("private key has %d bytes, want %d", len(priv), ed25519.PrivateKeySize)
@@ -86,17 +87,17 @@
 	return signed, nil
 }
 
-// Verify proves a published value: its form, its signature by one of keys, and
-// its content. The error's type tells which of them failed.
+// Verify checks a published value: its envelope, its signature by one of keys,
+// and its content. The type of the error tells which check failed.
 func Verify(keys []ed25519.PublicKey, signed []byte) (*Verified, error) {
-	e, err := open(signed)
+	e, err := parseEnvelope(signed)
 	if err != nil {
 		return nil, err
 	}
 	if err := e.verify(keys); err != nil {
 		return nil, err
 	}
-	b, err := Check(payloadName, e.Payload)
+	b, err := Check(payloadFileName, e.Payload)
 	if err != nil {
 		return nil, ErrContent.Wrap(err, "signed bundle fails its check")
 	}
@@ -108,8 +109,8 @@
 	}, nil
 }
 
-// open reads an envelope without judging its signature.
-func open(signed []byte) (*envelope, error) {
+// parseEnvelope decodes an envelope without verifying its signature.
+func parseEnvelope(signed []byte) (*envelope, error) {
 	if len(signed) > MaxBytes {
 		return nil, ErrOversized.New("value has %d bytes; at most %d are allowed", len(signed), MaxBytes)
 	}
@@ -134,7 +135,7 @@
 	return &e, nil
 }
 
-// verify proves the signature. The key ID only selects the key; it proves nothing.
+// verify checks the signature. The key ID only selects the key; it proves nothing.
 func (e *envelope) verify(keys []ed25519.PublicKey) error {
 	for _, key := range keys {
 		if KeyID(key) != e.KeyID {
@@ -148,14 +149,14 @@
 	return ErrUnknownKey.New("signed by key %q, which is not among the %d accepted", e.KeyID, len(keys))
 }
 
-// signedMessage is what a signature covers.
+// signedMessage returns the bytes that a signature covers.
 func signedMessage(payload []byte) []byte {
 	message := make([]byte, 0, len(signatureDomain)+len(payload))
 	message = append(message, signatureDomain...)
 	return append(message, payload...)
 }
 
-// signedSize returns the length of the envelope of a payload of that length.
+// signedSize returns the length in bytes of the envelope of a payload of that length.
 func signedSize(payload int) int {
 	empty, err := json.Marshal(envelope{
 		Format:    formatVersion,
--- a/bundle/sign_test.go
+++ b/bundle/sign_test.go
@@ -16,7 +16,7 @@
 	next, _ := testKey(2)
 	signed, err := Sign(priv, []byte(sample))
 	assert.NilError(t, err)
-	// The old and the new key are both accepted during a change of key.
+	// Both the old and the new key are accepted during a key rotation.
 	v, err := Verify([]ed25519.PublicKey{next, pub}, signed)
 	assert.NilError(t, err)
 	assert.Equal(t, v.Head.Version, uint64(3))
@@ -28,9 +28,9 @@
 	assert.Assert(t, errorx.IsOfType(err, ErrUnknownKey), "%v", err)
 }
 
-// Story: an operator's upload breaks off, and processes read the value while
-// it is half written. At every length the reader must say that the value is
-// cut, and never panic or take a part for the whole.
+// An operator's upload is interrupted, and processes read the value while it is
+// half written. Whatever the length, Verify must report that the value is
+// truncated, and must neither panic nor accept it.
 func TestVerifyHalfWritten(t *testing.T) {
 	pub, priv := testKey(1)
 	signed, err := Sign(priv, []byte(sample))
@@ -46,7 +46,7 @@
 	signed, err := Sign(priv, []byte(sample))
 	assert.NilError(t, err)
 	reopen := func(change func(*envelope)) []byte {
-		e, err := open(signed)
+		e, err := parseEnvelope(signed)
 		assert.NilError(t, err)
 		change(e)
 		data, err := json.Marshal(e)
