--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, got[len(got)-1].Attempt, 2*maxRecordsPerRequest)
 }
 
-func TestStoreForgetsTheLeastRecent(t *testing.T) {
+func TestStoreEvictsTheLeastRecent(t *testing.T) {
 	s := NewStore(StoreConfig{MaxRequests: 2 * storeShards, MaxAge: time.Minute})
 	var same []string
 	for i := 0; len(same) < 3; i++ {
@@ -55,7 +55,7 @@
 	return Record{Request: "r", At: at(ms), Process: "entry@1", Kind: KindRouted, Stage: "encode", Endpoint: "ep-1", Entry: "entry@1", Attempt: 1}
 }
 
-func ofSending(r Record, entry string) Record {
+func withEntry(r Record, entry string) Record {
 	r.Entry = entry
 	return r
 }
@@ -68,9 +68,9 @@
 	return Record{Request: "r", At: at(ms), Process: "entry@1", Kind: KindFinal, Outcome: outcome}
 }
 
-// A support engineer asks what became of a request of which one or the other
-// process is gone. Whatever is missing must show as a gap, and nothing that was
-// not found may turn into "did not run".
+// A process that handled a request may be gone when its timeline is requested.
+// Whatever is missing must show as a gap, and a missing record must never be
+// taken as proof that the request did not run.
 func TestMerge(t *testing.T) {
 	admitted := Record{Request: "r", At: at(0), Process: "entry@1", Kind: KindAdmitted}
 	entryEnd := Record{Request: "r", At: at(5), Process: "entry@1", Kind: KindFinished, Stage: "encode", Endpoint: "ep-1", Entry: "entry@1", Attempt: 1, State: api.StageDone}
@@ -107,7 +107,7 @@
 			{Process: "ep-1", Records: agentPart},
 		}, api.OutcomeUnknown, true, true, nil},
 		{"one sending refused, another ran", []Part{
-			{Process: "entry-2", Records: []Record{admitted, ofSending(final(6, api.OutcomeRefused), "entry-2@1#1")}},
+			{Process: "entry-2", Records: []Record{admitted, withEntry(final(6, api.OutcomeRefused), "entry-2@1#1")}},
 			{Process: "ep-1", Records: agentPart},
 		}, api.OutcomeUnknown, false, false, []string{"the entry's part"}},
 		{"started, then proved unwritten", []Part{
--- a/ledger/merge.go
+++ b/ledger/merge.go
@@ -8,26 +8,27 @@
 	"github.com/mangostage/mangostage/api"
 )
 
-// Part is what one process was able to say of a request.
+// Part holds one process's records of a request.
 type Part struct {
 	Process string   `json:"process"`
 	Records []Record `json:"records,omitempty"`
-	// Missing is why the process said nothing; empty if it answered.
+	// Missing is the reason why the process did not answer; empty if it did.
 	Missing string `json:"missing,omitempty"`
 }
 
-// Story is the account of one request, merged from the parts of all processes
+// Story is the timeline of one request, merged from the parts of all processes
 // that answered.
 type Story struct {
 	Request string `json:"request"`
-	// Lines are in the order of time; gaps stand where the missing part belongs.
+	// Lines are the records in order of time, with gaps where records are missing.
 	Lines   []Line      `json:"lines"`
 	Outcome api.Outcome `json:"outcome"`
-	// Complete is false if anything that belongs to the account is missing.
+	// Complete is true if there are records and no gaps.
 	Complete bool `json:"complete"`
-	// Contradicted is true if the processes' parts do not agree.
+	// Contradicted is true if the records of different processes contradict each
+	// other: a caller was told that its request did not run, and a stage of it ran.
 	Contradicted bool `json:"contradicted,omitempty"`
-	// Verdict says the outcome and what it rests on, in a sentence.
+	// Verdict is one sentence with the outcome and the evidence for it.
 	Verdict string `json:"verdict"`
 }
 
@@ -37,10 +38,10 @@
 	Gap    *Gap    `json:"gap,omitempty"`
 }
 
-// Gap is something that should be known and is not.
+// Gap is a piece of the timeline that is missing.
 type Gap struct {
-	// After is the time of the latest record that comes before the gap; zero
-	// for a gap without a place in time.
+	// After is the time of the record that the gap follows; zero if the gap has no
+	// place in time.
 	After   time.Time `json:"after"`
 	Process string    `json:"process,omitempty"`
 	Stage   string    `json:"stage,omitempty"`
@@ -48,28 +49,29 @@
 	Missing string    `json:"missing"`
 }
 
-// Merge puts the parts of several processes in order. Clocks of processes
-// differ, so that lines of different processes may stand in the wrong order by
-// as much; lines of one process never do.
+// Merge merges the parts of several processes in order of time. Clocks of
+// processes differ, so lines of different processes may be out of order by that
+// difference; lines of one process never are.
 func Merge(request string, parts ...Part) Story {
 	s := Story{Request: request}
-	records := unique(parts)
-	gaps := silent(parts)
-	gaps = append(gaps, missingParts(records)...)
+	records := dedupe(parts)
+	gaps := unansweredGaps(parts)
+	gaps = append(gaps, findGaps(records)...)
 	s.Lines = interleave(records, gaps)
 	s.Complete = len(gaps) == 0 && len(records) > 0
-	s.judge(newEvidence(records))
+	s.setVerdict(newEvidence(records))
 	return s
 }
 
-// unique sorts the records and drops copies: an entry keeps copies of others' records.
-func unique(parts []Part) []Record {
+// dedupe returns the records of all parts in order of time without duplicates:
+// an entry keeps copies of other processes' records.
+func dedupe(parts []Part) []Record {
 	var records []Record
 	seen := make(map[Record]bool)
 	for _, part := range parts {
 		for _, r := range part.Records {
 			key := r
-			// Two decodings of one time differ in their location pointers.
+			// Times decoded from the same text differ in their location pointers.
 			key.At = r.At.Round(0).UTC()
 			if seen[key] {
 				continue
@@ -82,7 +84,8 @@
 	return records
 }
 
-func silent(parts []Part) []Gap {
+// unansweredGaps returns a gap for each process that did not answer.
+func unansweredGaps(parts []Part) []Gap {
 	var gaps []Gap
 	for _, part := range parts {
 		if part.Missing != "" {
@@ -92,27 +95,33 @@
 	return gaps
 }
 
-// attemptID names one attempt of one stage in the records of all processes.
+// attemptID identifies one attempt of one stage in the records of all processes.
 type attemptID struct {
 	entry   string
 	stage   string
 	attempt int
 }
 
-// attemptParts tells who spoke of an attempt.
+// attemptParts holds what the records of one attempt show.
 type attemptParts struct {
-	routed  *Record
-	agent   *Record
-	written bool
-	ended   bool
+	// routed is the entry's record of the attempt; nil if missing.
+	routed *Record
+	// firstAgentRecord is the first record by the endpoint's agent; nil if there is none.
+	firstAgentRecord *Record
+	// maybeSent is false if the entry recorded that it did not send the call.
+	maybeSent bool
+	// ended is true if a record shows the end of the attempt.
+	ended bool
 }
 
-// byAgent tells whether a record comes from the agent beside its endpoint,
-// whose process is named after the endpoint.
+// byAgent reports whether a record was made by the agent of its endpoint, whose
+// process is named after the endpoint.
 func (r *Record) byAgent() bool {
 	return r.Kind == KindReceived || r.Kind == KindStarted || (r.Endpoint != "" && r.Process == r.Endpoint)
 }
 
+// attempts groups the records by attempt and returns the attempts with their IDs
+// in order of first appearance.
 func attempts(records []Record) (map[attemptID]*attemptParts, []attemptID) {
 	found := make(map[attemptID]*attemptParts)
 	var order []attemptID
@@ -124,19 +133,20 @@
 		id := attemptID{r.Entry, r.Stage, r.Attempt}
 		a := found[id]
 		if a == nil {
-			a = &attemptParts{written: true}
+			a = &attemptParts{maybeSent: true}
 			found[id] = a
 			order = append(order, id)
 		}
-		a.take(r)
+		a.add(r)
 	}
 	return found, order
 }
 
-func (a *attemptParts) take(r *Record) {
+// add updates a with one record of the attempt.
+func (a *attemptParts) add(r *Record) {
 	if r.byAgent() {
-		if a.agent == nil {
-			a.agent = r
+		if a.firstAgentRecord == nil {
+			a.firstAgentRecord = r
 		}
 		a.ended = a.ended || r.Kind == KindFinished || r.Kind == KindRefused
 		return
@@ -146,13 +156,14 @@
 		a.routed = r
 	case KindFinished, KindRevoked:
 		a.ended = true
-		// The entry knows first-hand that it wrote nothing, and the agent then
-		// has no part to give.
-		a.written = a.written && r.State != api.StageNotRun
+		// Only the entry knows that it sent nothing; the agent then has no record.
+		a.maybeSent = a.maybeSent && r.State != api.StageNotRun
 	}
 }
 
-func missingParts(records []Record) []Gap {
+// findGaps returns the gaps in the records of all attempts, and gaps for a
+// request whose admission or final outcome is not recorded.
+func findGaps(records []Record) []Gap {
 	var gaps []Gap
 	found, order := attempts(records)
 	for _, id := range order {
@@ -176,9 +187,10 @@
 	return gaps
 }
 
+// gaps returns the gaps in the records of the attempt named id.
 func (a *attemptParts) gaps(id attemptID) []Gap {
 	var gaps []Gap
-	if a.routed != nil && a.agent == nil && a.written {
+	if a.routed != nil && a.firstAgentRecord == nil && a.maybeSent {
 		gaps = append(gaps, Gap{
 			After:   a.routed.At,
 			Process: a.routed.Endpoint,
@@ -187,19 +199,19 @@
 			Missing: "the agent's part of this attempt",
 		})
 	}
-	if a.routed == nil && a.agent != nil {
+	if a.routed == nil && a.firstAgentRecord != nil {
 		gaps = append(gaps, Gap{
-			After:   a.agent.At,
+			After:   a.firstAgentRecord.At,
 			Process: id.entry,
 			Stage:   id.stage,
 			Attempt: id.attempt,
 			Missing: "the entry's part of this attempt",
 		})
 	}
-	if a.agent != nil && !a.ended {
+	if a.firstAgentRecord != nil && !a.ended {
 		gaps = append(gaps, Gap{
-			After:   a.agent.At,
-			Process: a.agent.Process,
+			After:   a.firstAgentRecord.At,
+			Process: a.firstAgentRecord.Process,
 			Stage:   id.stage,
 			Attempt: id.attempt,
 			Missing: "the end of this attempt",
@@ -208,7 +220,7 @@
 	return gaps
 }
 
-// interleave puts each gap behind the last record that is not after it, and
+// interleave inserts each gap after the first record whose time is its After, and
 // gaps without a time at the end.
 func interleave(records []Record, gaps []Gap) []Line {
 	lines := make([]Line, 0, len(records)+len(gaps))
@@ -231,13 +243,18 @@
 	return lines
 }
 
-// evidence is what bears on the outcome.
+// evidence holds the records that decide the outcome.
 type evidence struct {
+	// final is the preferred outcome among the submissions; nil if none is recorded.
 	final *Record
-	// started is an agent's first-hand word that a stage was written to its endpoint.
+	// started is the first record in which an agent reports that it started to
+	// send a stage to its endpoint, unless the agent later reported that it was
+	// not sent; nil if there is none.
 	started *Record
-	// denied is such a record of a sending whose caller was told that it did not run.
-	denied  *Record
+	// startedButRefused is the last such record of a submission whose caller was
+	// told that it did not run; nil if there is none.
+	startedButRefused *Record
+	// records is the number of records.
 	records int
 }
 
@@ -246,25 +263,26 @@
 	for i := range records {
 		r := &records[i]
 		if r.Kind == KindFinal {
-			e.final = stronger(e.final, r)
+			e.final = preferredFinal(e.final, r)
 		}
-		if r.Kind != KindStarted || provedUnwritten(records, r) {
+		if r.Kind != KindStarted || reportedNotSent(records, r) {
 			continue
 		}
 		if e.started == nil {
 			e.started = r
 		}
-		if denies(records, r) {
-			e.denied = r
+		if callerToldNotRun(records, r) {
+			e.startedButRefused = r
 		}
 	}
 	return e
 }
 
-// denies tells whether the caller of a started call's own sending was told that
-// it did not run. A request ID that was fetched beforehand can be sent several
-// times, and one sending's true "refused" is no denial of another that ran.
-func denies(records []Record, started *Record) bool {
+// callerToldNotRun reports whether the caller of the submission that started a
+// call was told that it did not run. A request ID that was fetched beforehand can
+// be submitted several times, and a correct "refused" for one submission does not
+// contradict another one that ran.
+func callerToldNotRun(records []Record, started *Record) bool {
 	for i := range records {
 		r := &records[i]
 		same := r.Entry == "" || r.Entry == started.Entry
@@ -275,10 +293,11 @@
 	return false
 }
 
-// stronger chooses between the outcomes of two sendings of one request. An
-// answer stands whatever the other got; "refused" gives way to all others,
-// because the request as a whole did not stay unrun.
-func stronger(a, b *Record) *Record {
+// preferredFinal returns the record that decides the request's outcome when two
+// submissions of it have ended. An answer takes precedence over all else;
+// "refused" yields to every other outcome, because the request may have run. If
+// both rank equally, preferredFinal returns b.
+func preferredFinal(a, b *Record) *Record {
 	if a == nil {
 		return b
 	}
@@ -294,9 +313,9 @@
 	return a
 }
 
-// provedUnwritten tells whether the agent later proved that the call it had
-// begun did not reach the endpoint after all.
-func provedUnwritten(records []Record, started *Record) bool {
+// reportedNotSent reports whether the agent later recorded that the call it had
+// started did not reach the endpoint.
+func reportedNotSent(records []Record, started *Record) bool {
 	for i := range records {
 		r := &records[i]
 		same := r.Process == started.Process && r.Entry == started.Entry &&
@@ -308,10 +327,10 @@
 	return false
 }
 
-// judge gives the verdict. That nothing was found proves nothing: records are
-// bounded and processes come and go, so "refused" rests on a record that says
-// so, never on the want of one.
-func (s *Story) judge(e evidence) {
+// setVerdict sets Outcome, Verdict and Contradicted. A missing record proves
+// nothing, because records are bounded and processes come and go: the outcome is
+// "refused" only if a record says so, never because none was found.
+func (s *Story) setVerdict(e evidence) {
 	switch {
 	case e.final == nil && e.started != nil:
 		s.Outcome = api.OutcomeUnknown
@@ -323,11 +342,11 @@
 	case e.final == nil:
 		s.Outcome = api.OutcomeUnknown
 		s.Verdict = "unknown: no process that answered has a record of it, which does not tell whether it ran"
-	case e.final.Outcome == api.OutcomeRefused && e.denied != nil:
+	case e.final.Outcome == api.OutcomeRefused && e.startedButRefused != nil:
 		s.Outcome = api.OutcomeUnknown
 		s.Contradicted = true
 		s.Verdict = fmt.Sprintf("contradicted: %s told its caller that it did not run, but %s ran stage %s",
-			e.final.Process, e.denied.Endpoint, e.denied.Stage)
+			e.final.Process, e.startedButRefused.Endpoint, e.startedButRefused.Stage)
 	case e.final.Outcome == api.OutcomeRefused && e.started != nil:
 		s.Outcome = api.OutcomeUnknown
 		s.Verdict = fmt.Sprintf("unknown: %s refused a sending, but stage %s of another ran on %s, and no process that answered knows its outcome",
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -1,5 +1,5 @@
-// Package ledger keeps, in bounded memory, what a process knows first-hand
-// about requests, and merges the parts of several processes into one account.
+// Package ledger keeps, in bounded memory, a process's own records of requests,
+// and merges the records of several processes into one timeline per request.
 package ledger
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/mangostage/mangostage/api"
 )
 
-// Kind tells what a record says.
+// Kind is the kind of event that a record describes.
 type Kind string
 
-// The kinds of record, in the order a request usually meets them.
+// The kinds of record, in the usual order for a request.
 const (
 	KindAdmitted Kind = "admitted"
 	KindRouted   Kind = "routed"
@@ -21,11 +21,11 @@
 	KindRefused  Kind = "refused"
 	KindRevoked  Kind = "revoked"
 	KindFinal    Kind = "final"
-	// KindDropped is a late or repeated result that was not used.
+	// KindDropped is a late or duplicate result that was discarded.
 	KindDropped Kind = "dropped"
 )
 
-// Record is one first-hand fact about a request.
+// Record is one event of a request, recorded by the process in which it happened.
 type Record struct {
 	Request  string         `json:"request"`
 	At       time.Time      `json:"at"`
--- a/ledger/store.go
+++ b/ledger/store.go
@@ -10,23 +10,25 @@
 
 const (
 	storeShards = 32
-	// maxRecordsPerRequest bounds one request, however often it is retried.
+	// maxRecordsPerRequest bounds the records of one request, however often it is retried.
 	maxRecordsPerRequest = 128
 )
 
-// StoreConfig bounds a Store.
+// StoreConfig holds the bounds of a Store.
 type StoreConfig struct {
-	// MaxRequests is the most requests held; the oldest is evicted first.
+	// MaxRequests is the maximum number of requests held. The least recently
+	// recorded one is evicted first.
 	MaxRequests int
-	// MaxAge is how long a request is held after its latest record.
+	// MaxAge is how long a request is held after its last record.
 	MaxAge time.Duration
 }
 
-// DefaultStoreConfig holds a quarter of an hour of about 70 requests a second.
+// DefaultStoreConfig holds 15 minutes of records at about 70 requests per second.
 var DefaultStoreConfig = StoreConfig{MaxRequests: 1 << 16, MaxAge: 15 * time.Minute}
 
-// Store holds records in memory, bounded by count and age. No decision
-// depends on it, so it may forget; it counts what it forgot.
+// Store holds records in memory, bounded by count and age. No decision depends
+// on it, so it may evict records; it counts the evictions. Its methods may be
+// called concurrently.
 type Store struct {
 	maxPerShard int
 	maxAge      time.Duration
@@ -34,16 +36,19 @@
 	shards      [storeShards]storeShard
 }
 
+// storeShard holds the requests of one shard, by request ID.
 type storeShard struct {
 	mu       sync.Mutex
 	requests map[string]*history
-	// oldest and newest end a list in the order of the latest record.
+	// oldest and newest are the ends of a list in order of the last record.
 	oldest, newest *history
 }
 
+// history holds the records of one request. It is a node of the shard's list.
 type history struct {
-	request    string
-	records    []Record
+	request string
+	records []Record
+	// at is the time of the last record.
 	at         time.Time
 	prev, next *history
 }
@@ -66,7 +71,8 @@
 	return s
 }
 
-// Add keeps a record. Its At field is taken as the present time.
+// Add stores a record and evicts requests that are older than the maximum age at
+// the record's time.
 func (s *Store) Add(r Record) {
 	shard := s.shard(r.Request)
 	shard.mu.Lock()
@@ -92,7 +98,8 @@
 	shard.pushNewest(h)
 }
 
-// Get returns a copy of the records of a request, in the order of their adding.
+// Get returns a copy of the records of a request in the order in which they were
+// added.
 func (s *Store) Get(request string) []Record {
 	shard := s.shard(request)
 	shard.mu.Lock()
@@ -104,7 +111,7 @@
 	return append([]Record(nil), h.records...)
 }
 
-// Len is the number of requests held.
+// Len returns the number of requests held.
 func (s *Store) Len() int {
 	n := 0
 	for i := range s.shards {
@@ -115,8 +122,8 @@
 	return n
 }
 
-// Evictions is the number of requests, and of single records of requests with
-// very many, dropped so far by count or age.
+// Evictions returns the number of evictions so far: requests evicted by count or
+// age, and single records of requests that exceed maxRecordsPerRequest.
 func (s *Store) Evictions() int64 { return s.evictions.Load() }
 
 func (s *Store) shard(request string) *storeShard {
