--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -18,12 +18,12 @@
 type Agent struct {
 	*base
 	agent *agent.Agent
-	// giver is nil beside an endpoint that takes no orders.
-	giver *order.Giver
+	// controller is nil if the endpoint's protocol takes no orders.
+	controller *order.Giver
 }
 
-// StartAgent starts an agent; s and loaded have been checked. The process is
-// named after its endpoint, which is how bindings and records refer to it.
+// StartAgent starts an agent; s and loaded must have been checked. The process is
+// named after its endpoint, because bindings and records refer to it by that name.
 func StartAgent(s settings.Agent, loaded settings.Loaded, log zerolog.Logger) (*Agent, error) {
 	process := newProcess(s.Endpoint, s.Domain, wire.RoleAgent)
 	b, err := newBase(process, loaded, log)
@@ -44,12 +44,12 @@
 		Log:          log,
 		Records:      ledger.NewStore(ledger.DefaultStoreConfig),
 		RefusalsOnly: loaded.RefusalsOnly,
-		// The agent is started after member, which is therefore set here.
+		// member is nil here, but the agent is started after it has been set.
 		DropConnections: func() { go a.member.DropConnections() },
 		Announce:        func() { a.member.Announce() },
 	})
 	if engine, ok := protocol.(order.Engine); ok {
-		a.giver = newGiver(process, s, engine, log)
+		a.controller = newController(process, s, engine, log)
 	}
 	a.agent.Register(b.mux)
 	cfg := b.memberConfig(s.Common, loaded)
@@ -61,12 +61,12 @@
 		return nil, err
 	}
 	a.agent.Start()
-	if a.giver != nil {
-		a.giver.Start()
+	if a.controller != nil {
+		a.controller.Start()
 	}
 	if err := b.serveDebug(s.DebugListen, a.agent.Vars()); err != nil {
-		if a.giver != nil {
-			a.giver.Stop()
+		if a.controller != nil {
+			a.controller.Stop()
 		}
 		a.agent.Stop()
 		b.stop()
@@ -76,7 +76,7 @@
 	return a, nil
 }
 
-func newGiver(process wire.Process, s settings.Agent, engine order.Engine, log zerolog.Logger) *order.Giver {
+func newController(process wire.Process, s settings.Agent, engine order.Engine, log zerolog.Logger) *order.Giver {
 	return order.New(order.Config{
 		Core: order.CoreConfig{
 			Endpoint: s.Endpoint,
@@ -88,29 +88,30 @@
 	})
 }
 
-// setLeaving ends the giving of orders too: the engine may get a new agent.
+// setLeaving sets whether the platform lists this VM as leaving. The controller
+// gives no orders while it is, because the engine may get a new agent.
 func (a *Agent) setLeaving(leaving bool) {
 	a.agent.SetLeaving(leaving)
-	if a.giver != nil {
-		a.giver.SetLeaving(leaving)
+	if a.controller != nil {
+		a.controller.SetLeaving(leaving)
 	}
 }
 
-// applyBundle tells the entries what changed: until a report says otherwise
-// they route by the capacity of the bundle before.
+// applyBundle applies a new bundle and sends a report to the entries: until then
+// they route by the capacity of the previous bundle.
 func (a *Agent) applyBundle(v *bundle.Verified) {
 	a.agent.ApplyBundle(v)
-	if a.giver != nil {
-		a.giver.ApplyBundle(v)
+	if a.controller != nil {
+		a.controller.ApplyBundle(v)
 	}
 	a.member.Announce()
 }
 
-// Stop refuses new calls, announces it to the entries, finishes what was
-// accepted, and ends.
+// Stop refuses new calls, announces that to the entries, finishes the accepted
+// calls and stops the process. It returns an error if ctx ends first.
 func (a *Agent) Stop(ctx context.Context) error {
-	if a.giver != nil {
-		a.giver.Stop()
+	if a.controller != nil {
+		a.controller.Stop()
 	}
 	err := a.agent.Drain(ctx)
 	a.stopDebug(ctx)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of an entry or an agent together into a
-// process that can be started and stopped, by the thin commands and by tests.
+// Package daemon assembles an entry, an agent or a gateway into a process that
+// the commands and tests can start and stop.
 package daemon
 
 import (
@@ -27,13 +27,13 @@
 )
 
 const (
-	// platformTimeout bounds one call to the platform beyond a watch's wait.
+	// platformTimeout bounds one call to the platform, for a watch beyond its wait.
 	platformTimeout = 2 * time.Second
-	// headerTimeout ends connections that do not send their request.
+	// headerTimeout closes connections that do not send their request header.
 	headerTimeout = 5 * time.Second
 )
 
-// Event names of the log lines.
+// Values of the log key "event".
 const (
 	logStarted    = "started"
 	logDraining   = "draining"
@@ -41,16 +41,18 @@
 	logBusEnded   = "event_bus_ended"
 	logHTTPEnded  = "http_ended"
 	logNotApplied = "bundle_not_applied"
-	// logSettingsRead is the gateway's: its settings file was read again.
+	// logSettingsRead is logged when a gateway has re-read its settings file.
 	logSettingsRead = "settings_read"
 )
 
-// timeFormat has the milliseconds that order the lines of several processes.
+// timeFormat includes milliseconds, so that lines of several processes can be
+// put in order.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// NewLog returns the process's log: JSON lines on out.
+// NewLog returns a logger that writes JSON lines to out with the process's name
+// and failure domain.
 func NewLog(out io.Writer, level zerolog.Level, process wire.Process) zerolog.Logger {
 	return zerolog.New(out).Level(level).With().
 		Timestamp().
@@ -59,12 +61,12 @@
 		Logger()
 }
 
-// newProcess names this run of a process.
+// newProcess returns the identity of this run of a process, with a new incarnation.
 func newProcess(name, domain string, role wire.Role) wire.Process {
 	return wire.Process{Name: name, Incarnation: uuid.NewString(), Role: role, Domain: domain}
 }
 
-// base is what entries and agents have in common.
+// base holds what entries and agents have in common.
 type base struct {
 	process wire.Process
 	log     zerolog.Logger
@@ -72,8 +74,9 @@
 	holder  *bundle.Holder
 	mux     *peer.Mux
 	member  *member.Service
-	peers   net.Addr
-	// debug serves metrics on their own address; nil without one.
+	// peerAddr is the address bound for peers.
+	peerAddr net.Addr
+	// debug serves metrics on a separate address; nil if none is configured.
 	debug     *http.Server
 	debugAddr net.Addr
 	tls       *settings.TLS
@@ -95,7 +98,8 @@
 	}, nil
 }
 
-// memberConfig fills what does not depend on the role.
+// memberConfig returns the part of the member configuration that does not depend
+// on the role.
 func (b *base) memberConfig(c settings.Common, loaded settings.Loaded) member.Config {
 	return member.Config{
 		Self:     b.process,
@@ -112,7 +116,7 @@
 	}
 }
 
-// start runs the event bus and joins the fleet.
+// start starts the event bus and joins the fleet.
 func (b *base) start(cfg member.Config) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.stopBus = cancel
@@ -128,7 +132,7 @@
 		cancel()
 		return errorx.Decorate(err, "join the fleet")
 	}
-	b.peers = peers
+	b.peerAddr = peers
 	return nil
 }
 
@@ -139,7 +143,7 @@
 	b.log.Info().Str("event", logStopped).Msg("stopped")
 }
 
-// serveDebug serves metrics and health on their own address, if there is one.
+// serveDebug serves metrics and health on a separate address, if one is given.
 func (b *base) serveDebug(address string, own *expvar.Map) error {
 	if address == "" {
 		return nil
@@ -158,11 +162,12 @@
 	}
 }
 
-// logStart tells where the process listens; callers is nil without a callers' API.
+// logStart logs the addresses on which the process listens; callers is nil for a
+// process without a callers' API.
 func (b *base) logStart(callers net.Addr) {
 	event := b.log.Info().Str("event", logStarted).
 		Str("incarnation", b.process.Incarnation).
-		Stringer("peer_address", b.peers).
+		Stringer("peer_address", b.peerAddr).
 		Bool("tls", b.tls != nil)
 	if callers != nil {
 		event.Stringer("address", callers)
@@ -173,14 +178,14 @@
 	event.Msg("listening")
 }
 
-// DebugAddr returns the address bound for metrics, or nil.
+// DebugAddr returns the address bound for metrics, or nil if there is none.
 func (b *base) DebugAddr() net.Addr { return b.debugAddr }
 
 // PeerAddr returns the address bound for peers.
-func (b *base) PeerAddr() net.Addr { return b.peers }
+func (b *base) PeerAddr() net.Addr { return b.peerAddr }
 
-// vars returns the metrics of a process: its own part, its part in the fleet,
-// and the runtime's.
+// vars returns the metrics of a process: those of its role in own, and those of
+// fleet membership, bundle, TLS and the Go runtime.
 func (b *base) vars(own *expvar.Map) *expvar.Map {
 	m := new(expvar.Map).Init()
 	m.Set(string(b.process.Role), own)
@@ -196,7 +201,7 @@
 	return m
 }
 
-// serveVars answers /debug/vars.
+// serveVars returns a handler that answers with m as JSON.
 func serveVars(m *expvar.Map) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -223,7 +228,7 @@
 	return listener, nil
 }
 
-// serveOn serves until the server is shut down.
+// serveOn serves until the server is shut down; it logs any other end.
 func serveOn(server *http.Server, listener net.Listener, log zerolog.Logger) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		log.Error().Str("event", logHTTPEnded).Err(err).Msg("HTTP server ended")
--- a/daemon/decisionlog_test.go
+++ b/daemon/decisionlog_test.go
@@ -9,9 +9,9 @@
 	"github.com/mangostage/mangostage/settings"
 )
 
-// An operator turns routine decisions off to save log volume. A support
-// engineer must still find every refusal in the log, the agent's and the
-// entry's, and must not meet what the operator turned off.
+// With --decision-log refusals, routine decisions are left out of the log to save
+// volume. Every refusal by the agent and by the entry must still be logged, and no
+// routine decision.
 func TestDecisionLogNeverHidesRefusals(t *testing.T) {
 	for _, mode := range []string{settings.DecisionLogAll, settings.DecisionLogRefusals} {
 		t.Run(mode, func(t *testing.T) {
@@ -24,7 +24,7 @@
 			assert.Equal(t, f.log.count("route"), routine)
 			assert.Equal(t, f.log.decided("started"), routine)
 			f.endpoint.Close()
-			// The first one meets the endpoint gone, or its agent already knows.
+			// The call fails, or the agent already knows that the endpoint is gone.
 			assert.Equal(t, f.send(someInput), http.StatusServiceUnavailable)
 			assert.Equal(t, f.log.count("refused"), 1)
 			if mode == settings.DecisionLogRefusals {
@@ -35,7 +35,7 @@
 }
 
 // BenchmarkDecisionLog measures whole requests, from the caller through entry
-// and agent to a stand-in and back, and what they write to the logs.
+// and agent to a fake endpoint and back, and the log volume that they cause.
 func BenchmarkDecisionLog(b *testing.B) {
 	for _, mode := range []string{settings.DecisionLogAll, settings.DecisionLogRefusals} {
 		b.Run(mode, func(b *testing.B) {
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -24,7 +24,7 @@
 	addr     net.Addr
 }
 
-// StartEntry starts an entry; s and loaded have been checked.
+// StartEntry starts an entry; s and loaded must have been checked.
 func StartEntry(s settings.Entry, loaded settings.Loaded, log zerolog.Logger) (*Entry, error) {
 	process := newProcess(s.VM, s.Domain, wire.RoleEntry)
 	b, err := newBase(process, loaded, log)
@@ -62,8 +62,8 @@
 	return e, nil
 }
 
-// serve serves the callers' API, and the metrics with it unless they have an
-// address of their own: callers need not see other accounts' figures.
+// serve serves the callers' API. Metrics are served with it only if they have no
+// address of their own, because callers need not see other accounts' figures.
 func (e *Entry) serve() error {
 	vars := serveVars(e.vars(e.entry.Vars()))
 	if e.settings.DebugListen != "" {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// applyBundle logs a bundle whose policy this build does not know; the one in
-// force stays.
+// applyBundle applies a bundle. A bundle whose policy this build does not know is
+// logged and the one in force stays.
 func (e *Entry) applyBundle(v *bundle.Verified) {
 	if err := e.entry.ApplyBundle(v); err != nil {
 		e.log.Error().Str("event", logNotApplied).Err(err).Uint64("version", v.Head.Version).Msg("bundle not applied")
@@ -94,8 +94,8 @@
 // Entry returns the entry itself.
 func (e *Entry) Entry() *entry.Entry { return e.entry }
 
-// Stop drains: unready first, then no new requests, then out when the last has
-// its answer or ctx ends.
+// Stop drains the entry: it reports unready first, then refuses new requests, and
+// stops when the last request has its answer or ctx ends.
 func (e *Entry) Stop(ctx context.Context) error {
 	e.log.Info().Str("event", logDraining).Msg("draining")
 	err := e.entry.Drain(ctx, e.settings.DrainWait)
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -32,36 +32,39 @@
 )
 
 const (
-	// unreadyFor is how long a stopping gateway waits at most for the balancer to
-	// notice: it asks once a second and acts on the second miss.
-	unreadyFor = 2500 * time.Millisecond
-	// noticeTravel is the time for connections that the balancer passed on
-	// before it noticed: many times the way from the clients.
-	noticeTravel = 100 * time.Millisecond
-	// stopReserve is kept of the grace for the end of the process itself,
-	// lastAnswers of that for the answers to requests that are given up.
-	stopReserve = 700 * time.Millisecond
-	lastAnswers = 200 * time.Millisecond
-	// reserveShare is the part of a short grace, one in so many, that is kept.
-	reserveShare = 6
-	// lastRequests is how long a connection that came last has for its request:
-	// many times the way from the clients.
-	lastRequests = 50 * time.Millisecond
-	// drainedEvery is how often a stopping gateway looks whether it is done.
-	drainedEvery = 10 * time.Millisecond
-	// clientHeaderTimeout ends connections that do not send their header.
+	// maxBalancerWait is the longest time that a stopping gateway waits until the
+	// balancer sends it no new connections: the balancer checks readiness once a
+	// second and acts on the second failed check.
+	maxBalancerWait = 2500 * time.Millisecond
+	// inTransitWait is the time for connections to arrive that the balancer passed
+	// on before it noticed: many times the network delay from the clients.
+	inTransitWait = 100 * time.Millisecond
+	// exitReserve is the part of the grace that is kept for the exit of the process;
+	// finalAnswerTime is the part of exitReserve for the answers to requests that
+	// are given up.
+	exitReserve     = 700 * time.Millisecond
+	finalAnswerTime = 200 * time.Millisecond
+	// exitReserveDivisor limits the reserve of a short grace to grace/exitReserveDivisor.
+	exitReserveDivisor = 6
+	// idleCloseInterval is the interval at which a stopping gateway closes idle
+	// connections, and so the time that a new connection has to send its request:
+	// many times the network delay from the clients.
+	idleCloseInterval = 50 * time.Millisecond
+	// drainPollInterval is how often a stopping gateway checks whether it has drained.
+	drainPollInterval = 10 * time.Millisecond
+	// clientHeaderTimeout closes client connections that do not send their header.
 	clientHeaderTimeout = 10 * time.Second
-	// clientIdleTimeout is longer than any limit that clients keep to, so that
-	// a request never crosses the end of its connection.
+	// clientIdleTimeout is longer than any idle limit of the clients, so that the
+	// gateway never closes a connection while a request is on its way.
 	clientIdleTimeout = 90 * time.Second
-	// storeIdleTimeout keeps the connection to the store between calls.
+	// storeIdleTimeout is how long an idle connection to the store is kept between calls.
 	storeIdleTimeout = 30 * time.Second
 )
 
 // Gateway is a running mangostage-gateway.
 type Gateway struct {
 	loaded    settings.LoadedGateway
-	own       settings.Gateway
+	options   settings.Gateway
 	log       zerolog.Logger
 	sink      *logsink.Sink
 	bus       *kernel.Bus
@@ -70,27 +73,31 @@
 	scheduler *scheduler.Scheduler
 	gateway   *gateway.Gateway
 	metrics   *gateway.Metrics
-	front     *http.Server
-	// clients are the connections of front.
-	clients *keepalive.Conns
-	side    []*http.Server
-	// hups carries SIGHUP from the first moment on: its default ends the process.
-	hups    chan os.Signal
+	frontend  *http.Server
+	// clientConns are the client connections of frontend.
+	clientConns *keepalive.Conns
+	// auxServers serve readiness and metrics.
+	auxServers []*http.Server
+	// reloadSignals receives SIGHUP. It is registered before anything else starts,
+	// because SIGHUP ends the process by default.
+	reloadSignals chan os.Signal
+	// stop ends the goroutines of running.
 	stop    context.CancelFunc
 	running sync.WaitGroup
 }
 
-// StartGateway starts the process; log lines go to sink.
-func StartGateway(own settings.Gateway, loaded settings.LoadedGateway, sink *logsink.Sink) (*Gateway, error) {
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
+// StartGateway starts a gateway; options and loaded must have been checked. Log
+// lines go to sink.
+func StartGateway(options settings.Gateway, loaded settings.LoadedGateway, sink *logsink.Sink) (*Gateway, error) {
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	p := loaded.Platform
 	log := zerolog.New(sink).Level(loaded.LogLevel).With().Timestamp().Str("process", p.Name).Logger()
 	bus, err := kernel.NewBus(log)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{own: own, loaded: loaded, log: log, sink: sink, bus: bus, metrics: gateway.NewMetrics(), hups: hups}
+	g := &Gateway{options: options, loaded: loaded, log: log, sink: sink, bus: bus, metrics: gateway.NewMetrics(), reloadSignals: reloadSignals}
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	g.assemble()
@@ -104,7 +111,7 @@
 	return g, nil
 }
 
-// assemble makes the parts and connects them.
+// assemble creates the components and connects them.
 func (g *Gateway) assemble() {
 	p := g.loaded.Platform
 	mux := peer.NewMux()
@@ -114,7 +121,7 @@
 	stages := platform.NewStages(&http.Client{Transport: toEndpoints})
 	g.scheduler = scheduler.New(p.Name, stages, g.log)
 	g.fleet = fleet.New(fleet.Config{
-		Self:    fleet.Member{Name: p.Name, Addr: cmp.Or(g.own.Advertise, p.Peer), Domain: p.Domain, Cores: p.Cores},
+		Self:    fleet.Member{Name: p.Name, Addr: cmp.Or(g.options.Advertise, p.Peer), Domain: p.Domain, Cores: p.Cores},
 		Listen:  p.Peer,
 		Seeds:   p.Seeds,
 		Mux:     mux,
@@ -126,7 +133,7 @@
 		OnReach:     g.scheduler.Reach,
 		OnDemoted:   g.scheduler.HandOver,
 	})
-	g.follower = discovery.NewFollower(store, discovery.NewPeerRelay(g.fleet, g.log), p.Bounds.ConfigApply, g.log, g.viewChanged)
+	g.follower = discovery.NewFollower(store, discovery.NewPeerRelay(g.fleet, g.log), p.Bounds.ConfigApply, g.log, g.publishView)
 	g.follower.OnWake(toStore.CloseIdleConnections)
 	g.follower.OnWake(toEndpoints.CloseIdleConnections)
 	discovery.ServePeers(mux, g.follower)
@@ -142,45 +149,48 @@
 		Transport:   toEndpoints,
 		Log:         g.log,
 		Metrics:     g.metrics,
-		TellCrashes: func(found []gateway.Crash) { g.fleet.Tell(methodCrashed, found) },
+		TellCrashes: func(crashes []gateway.Crash) { g.fleet.Tell(methodCrashed, crashes) },
 	})
-	peer.HandleNote(mux, methodCrashed, func(_ *peer.Conn, found []gateway.Crash) { g.heardCrashes(found) })
+	peer.HandleNote(mux, methodCrashed, func(_ *peer.Conn, crashes []gateway.Crash) { g.addPeerCrashes(crashes) })
 	kernel.Handle(g.bus, "scheduler", kernel.TopicView, func(kernel.ViewEvent) { g.scheduler.SetView(g.follower.View()) })
 	kernel.Handle(g.bus, "gateway", kernel.TopicView, func(kernel.ViewEvent) { g.gateway.SetView(g.follower.View()) })
 }
 
-// methodCrashed is the notification of endpoints that crashed under requests.
+// methodCrashed is the peer notification of endpoints that crashed while they ran requests.
 const methodCrashed = "gateway.crashed"
 
-// heardCrashes takes crashes that another gateway saw. Where members are
-// connected to a few others only, what is news is passed on.
-func (g *Gateway) heardCrashes(found []gateway.Crash) {
-	var news []gateway.Crash
-	for _, c := range found {
+// addPeerCrashes records crashes that another gateway observed. If the members
+// do not form a full mesh, crashes that were not known here are forwarded.
+func (g *Gateway) addPeerCrashes(crashes []gateway.Crash) {
+	var unseen []gateway.Crash
+	for _, c := range crashes {
 		if g.gateway.HeardCrash(c) {
-			news = append(news, c)
+			unseen = append(unseen, c)
 		}
 	}
-	if len(news) > 0 && !g.fleet.Mesh() {
-		g.fleet.Tell(methodCrashed, news)
+	if len(unseen) > 0 && !g.fleet.Mesh() {
+		g.fleet.Tell(methodCrashed, unseen)
 	}
 }
 
+// storeTransport returns a transport for calls to the platform's store.
 func storeTransport() *gateway.Transport {
 	t := gateway.NewTransport()
 	t.IdleConnTimeout = storeIdleTimeout
 	return t
 }
 
-// viewChanged tells the parts that keep state by endpoint. Requests read the
-// view itself, so that no request sees an older one than another before it.
-func (g *Gateway) viewChanged(view *catalog.View) {
+// publishView publishes a new view to the components that keep state per endpoint.
+// Requests read the view directly from the follower, so that no request sees an
+// older view than an earlier request.
+func (g *Gateway) publishView(view *catalog.View) {
 	err := kernel.Publish(g.bus, kernel.TopicView, kernel.ViewEvent{Revision: view.Revision})
 	if err != nil {
-		g.log.Error().Str("event", logBusEnded).Err(err).Msg("view not passed on")
+		g.log.Error().Str("event", logBusEnded).Err(err).Msg("failed to publish the view event")
 	}
 }
 
+// runBus starts the event bus and waits until it runs.
 func (g *Gateway) runBus(ctx context.Context) {
 	g.running.Go(func() {
 		if err := g.bus.Run(ctx); err != nil {
@@ -190,7 +200,7 @@
 	<-g.bus.Running()
 }
 
-// start opens the addresses and lets the parts run.
+// start runs the components and opens the addresses, that of the clients last.
 func (g *Gateway) start(ctx context.Context) error {
 	p := g.loaded.Platform
 	if err := g.fleet.Start(ctx); err != nil {
@@ -201,64 +211,67 @@
 	g.running.Go(func() { g.watchSettings(ctx) })
 	ready := chi.NewRouter()
 	ready.Get("/readyz", g.gateway.Ready)
-	if err := g.serveSide(p.Ready, ready); err != nil {
+	if err := g.serveAux(p.Ready, ready); err != nil {
 		return err
 	}
-	if g.own.MetricsPort != 0 {
+	if g.options.MetricsPort != 0 {
 		metrics := chi.NewRouter()
 		metrics.Get("/metrics", serveVars(g.vars()))
-		if err := g.serveSide(net.JoinHostPort(p.IP, strconv.Itoa(g.own.MetricsPort)), metrics); err != nil {
+		if err := g.serveAux(net.JoinHostPort(p.IP, strconv.Itoa(g.options.MetricsPort)), metrics); err != nil {
 			return err
 		}
 	}
-	return g.serveFront(p.Frontend)
+	return g.serveFrontend(p.Frontend)
 }
 
-func (g *Gateway) serveSide(addr string, handler http.Handler) error {
+// serveAux serves handler on addr until the end of Stop.
+func (g *Gateway) serveAux(addr string, handler http.Handler) error {
 	server, _, err := serveHTTP(addr, handler, g.log)
 	if err == nil {
-		g.side = append(g.side, server)
+		g.auxServers = append(g.auxServers, server)
 	}
 	return err
 }
 
-func (g *Gateway) serveFront(addr string) error {
+// serveFrontend serves the clients on addr.
+func (g *Gateway) serveFrontend(addr string) error {
 	listener, err := listenHTTP(addr)
 	if err != nil {
 		return err
 	}
-	g.front = &http.Server{
+	g.frontend = &http.Server{
 		Handler:           g.gateway,
 		ReadHeaderTimeout: clientHeaderTimeout,
 		IdleTimeout:       clientIdleTimeout,
 	}
-	g.clients = keepalive.Attach(g.front)
-	go serveOn(g.front, g.clients.Listener(listener), g.log)
+	g.clientConns = keepalive.Attach(g.frontend)
+	go serveOn(g.frontend, g.clientConns.Listener(listener), g.log)
 	return nil
 }
 
-// watchSettings re-reads the platform's file at SIGHUP. Nothing in it can
-// change while the process runs but what the process does not use; a change
-// is logged and no request is cut.
+// watchSettings re-reads the platform's settings file on SIGHUP and logs whether
+// it has changed. All values that the process uses are fixed while it runs, so a
+// change is only logged and no request is cut.
 func (g *Gateway) watchSettings(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.hups:
-			changed, findings := g.own.Changed(g.loaded)
+		case <-g.reloadSignals:
+			changed, findings := g.options.Changed(g.loaded)
 			g.log.Info().Str("event", logSettingsRead).Bool("changed", changed).
-				Err(findings.Err()).Msg("settings file read again")
+				Err(findings.Err()).Msg("re-read the settings file")
 		}
 	}
 }
 
-// Stop makes the process unready, serves on until the balancer has noticed and
-// all that is in flight has ended, within the platform's grace.
+// Stop drains the gateway: it makes the process unready and serves until the
+// balancer has noticed and all requests in flight have ended, within the
+// platform's grace.
 //
-// It listens to the end: where most gateways of a failure domain stop at once,
-// the balancer sends clients to them all the same, and a short request that
-// still fits is better served than left without a listener.
+// The gateway keeps listening until the end: if most gateways of a failure domain
+// stop at once, the balancer still sends clients to them, and a request short
+// enough to finish in time is better served than refused for want of a listener.
 func (g *Gateway) Stop(ctx context.Context) error {
 	began := time.Now()
 	g.log.Info().Str("event", logDraining).Msg("stopping")
@@ -267,69 +280,72 @@
 	g.fleet.Leave()
 	ctx, cancel := context.WithDeadline(ctx, last)
 	defer cancel()
-	g.awaitNotice(ctx)
+	g.awaitBalancer(ctx)
 	g.gateway.OutOfRotation()
-	// Connections without a request are closed now: their clients send the next
-	// one to a gateway that stays.
-	g.clients.CloseIdle()
+	// Idle connections are closed now, so that their clients send the next request
+	// to a gateway that is not stopping.
+	g.clientConns.CloseIdle()
 	g.awaitDrained(ctx)
-	err := g.shutdownFront(ctx)
+	err := g.shutdownFrontend(ctx)
 	cut := g.gateway.InFlight()
-	for _, server := range g.side {
+	for _, server := range g.auxServers {
 		_ = server.Close()
 	}
 	g.stop()
-	// Peers that do not answer must not hold up the end of the process.
+	// Peers that do not answer must not delay the exit of the process.
 	go g.fleet.Close()
 	g.log.Info().Str("event", logStopped).Dur("took_ms", time.Since(began)).Int64("cut", cut).Err(err).Msg("stopped")
-	g.sink.Close(stopReserve / 2)
+	g.sink.Close(exitReserve / 2)
 	return nil
 }
 
-// stopTimes tells by when a stop has ended all requests, and by when their last
-// answers must be out. A ctx that ends before the grace ends the process as well,
-// and of a short grace most belongs to the requests.
+// stopTimes returns the time end by which all requests must have ended, and the
+// time last by which their final answers must have been written. If ctx's deadline
+// is earlier than the end of the grace, it takes the place of the grace. Most of a
+// short grace is left to the requests.
 func stopTimes(ctx context.Context, began time.Time, grace time.Duration) (end, last time.Time) {
 	if limit, ok := ctx.Deadline(); ok {
 		grace = min(grace, limit.Sub(began))
 	}
-	reserve := min(stopReserve, grace/reserveShare)
+	reserve := min(exitReserve, grace/exitReserveDivisor)
 	end = began.Add(grace - reserve)
-	return end, end.Add(reserve * lastAnswers / stopReserve)
+	return end, end.Add(reserve * finalAnswerTime / exitReserve)
 }
 
-// awaitNotice waits until the balancer sends new connections elsewhere.
-func (g *Gateway) awaitNotice(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, unreadyFor)
+// awaitBalancer waits until the balancer sends new connections elsewhere, at most
+// maxBalancerWait.
+func (g *Gateway) awaitBalancer(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxBalancerWait)
 	defer cancel()
 	select {
 	case <-ctx.Done():
 	case <-g.gateway.Noticed():
-		sleep.For(ctx, noticeTravel)
+		sleep.For(ctx, inTransitWait)
 	}
 }
 
-// awaitDrained waits until no request is in flight, and no stage that this
-// process has begun as the owner of the queue: requests of other gateways wait
-// for it, and would have to begin anew.
+// awaitDrained waits until no request is in flight, and until no stage runs that
+// this process has started as the owner of the queue: requests of other gateways
+// wait for those stages and would have to start again.
 func (g *Gateway) awaitDrained(ctx context.Context) {
 	for (g.gateway.InFlight() > 0 || g.scheduler.Holds()) && ctx.Err() == nil {
-		sleep.For(ctx, drainedEvery)
+		sleep.For(ctx, drainPollInterval)
 	}
 }
 
-// shutdownFront ends the front. Connections that still come and carry no
-// request are closed, again and again: the server itself would wait 5 s for them.
-func (g *Gateway) shutdownFront(ctx context.Context) error {
+// shutdownFrontend shuts down the frontend server. Until it is done, new
+// connections that carry no request are closed repeatedly, because the server
+// itself would wait 5 s for them.
+func (g *Gateway) shutdownFrontend(ctx context.Context) error {
 	done, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
 		for done.Err() == nil {
-			sleep.For(done, lastRequests)
-			g.clients.CloseIdle()
+			sleep.For(done, idleCloseInterval)
+			g.clientConns.CloseIdle()
 		}
 	}()
-	return g.front.Shutdown(ctx)
+	return g.frontend.Shutdown(ctx)
 }
 
 // vars returns the metrics of the process.
--- a/daemon/helper_test.go
+++ b/daemon/helper_test.go
@@ -53,7 +53,7 @@
 `
 )
 
-// authority signs certificates.
+// authority is a certificate authority whose files are in dir.
 type authority struct {
 	t    testing.TB
 	dir  string
@@ -80,7 +80,7 @@
 
 func (a *authority) path(name string) string { return filepath.Join(a.dir, name) }
 
-// issue writes NAME.pem and NAME-key.pem, the key first.
+// issue writes NAME-key.pem, then NAME.pem.
 func (a *authority) issue(name string, serial int64) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
@@ -97,7 +97,8 @@
 	writePEM(a.t, a.path(name+".pem"), "CERTIFICATE", der)
 }
 
-// config is a client's that shows the named certificate, if any.
+// config returns a client's TLS configuration with the named certificate, or
+// without one if name is empty.
 func (a *authority) config(name string) *tls.Config {
 	roots := x509.NewCertPool()
 	roots.AddCert(a.cert)
@@ -115,7 +116,7 @@
 	assert.NilError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 }
 
-// smallFleet is one entry and one agent in this process, with TLS.
+// smallFleet is one entry and one agent, with TLS, in the test's process.
 type smallFleet struct {
 	t        testing.TB
 	ca       *authority
@@ -127,7 +128,8 @@
 	log      logCounter
 }
 
-// startFleet starts the fleet; extra are further flags of both daemons.
+// startFleet starts a fleet and waits until its entry can use the endpoint; extra
+// are additional flags of both daemons.
 func startFleet(t testing.TB, extra ...string) *smallFleet {
 	f := &smallFleet{t: t, ca: newAuthority(t), log: logCounter{text: new(strings.Builder)}}
 	f.platform = fake.NewPlatform(fake.PlatformSettings{})
@@ -162,7 +164,7 @@
 	f.waitUsable()
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("log of both:\n%s", f.log.all())
+			t.Logf("log of entry and agent:\n%s", f.log.all())
 		}
 	})
 	return f
@@ -170,7 +172,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// args are the flags of the process on a VM.
+// args returns the flags of the process on a VM: its own and the common ones.
 func (f *smallFleet) args(vm string, own ...string) []string {
 	pair := []string{"--vm", vm, "--tls-cert", f.ca.path(vm + ".pem"), "--tls-key", f.ca.path(vm + "-key.pem")}
 	return append(append(pair, own...), f.common...)
@@ -217,10 +219,10 @@
 	})
 }
 
-func (f *smallFleet) eventually(what string, holds func() bool) {
+func (f *smallFleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("waiting until %s", what)
@@ -246,16 +248,16 @@
 	return reply.StatusCode
 }
 
-// logCounter keeps the size of a log and counts its events.
+// logCounter is a log writer that counts bytes and lines and keeps the text.
 type logCounter struct {
 	mu    sync.Mutex
 	bytes int
 	lines int
-	// text is nil while only sizes are wanted.
+	// text is nil if only sizes are needed.
 	text *strings.Builder
 }
 
-// Write takes in one line.
+// Write implements io.Writer for one log line per call.
 func (c *logCounter) Write(line []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,10 +269,10 @@
 	return len(line), nil
 }
 
-// count returns how many lines have the event.
+// count returns the number of lines of an event.
 func (c *logCounter) count(event string) int { return c.contains(`"event":"` + event + `"`) }
 
-// decided returns how many lines have the agent's decision.
+// decided returns the number of lines with a decision of the agent.
 func (c *logCounter) decided(decision string) int { return c.contains(`"decision":"` + decision + `"`) }
 
 func (c *logCounter) contains(part string) int {
@@ -302,7 +304,7 @@
 	return vars
 }
 
-// section decodes one part of the metrics.
+// section decodes one section of the metrics.
 func section[T any](f *smallFleet, debug net.Addr, name string) T {
 	f.t.Helper()
 	var part T
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -18,22 +18,24 @@
 // Exit codes of the daemons.
 const (
 	ExitOK = 0
-	// ExitFailed means that the process ran into an error.
+	// ExitFailed means that the process failed to start or to stop cleanly.
 	ExitFailed = 1
-	// ExitUsage means that the settings are wrong.
+	// ExitUsage means that the settings are invalid.
 	ExitUsage = 2
 )
 
-// stopTimeout bounds a graceful stop: longer than any pipeline's deadline.
+// stopTimeout bounds a graceful stop; it is longer than any pipeline's deadline.
 const stopTimeout = 30 * time.Second
 
-// Stopper is a running process.
+// Stopper is a running process that can be stopped.
 type Stopper interface {
+	// Stop stops the process gracefully until ctx ends.
 	Stop(ctx context.Context) error
 }
 
-// Main runs a daemon: it reads settings into dest, checks them, starts the
-// process and stops it at SIGTERM or SIGINT. It returns the exit code.
+// Main runs a daemon: it parses settings into dest, starts the process with
+// start and stops it at SIGTERM or SIGINT. start checks the settings and adds
+// what is wrong to its argument. Main returns the exit code.
 func Main(program string, dest any, start func(*finding.List) (Stopper, error)) int {
 	parser, err := settings.Parse(program, dest, os.Args[1:])
 	switch {
--- a/daemon/page_test.go
+++ b/daemon/page_test.go
@@ -12,13 +12,13 @@
 
 const operationsPage = "../docs/OPERATIONS.md"
 
-// Parts of the page. What one of them names does not count for the other.
+// Headings of the page's parts. A name in one part does not count for the other.
 const (
 	gatewayPart = "\n## The gateway\n"
 	agentsPart  = "\n## Entry and agents\n"
 )
 
-// readParts returns what the page says of gateways, and of entries and agents.
+// readParts returns the page's part on gateways, and its part on entries and agents.
 func readParts(t *testing.T) (gateways, agents string) {
 	t.Helper()
 	page, err := os.ReadFile(operationsPage)
@@ -30,7 +30,7 @@
 	return gateways, agents
 }
 
-// source is the text of a package's files without its tests.
+// source returns the concatenated text of a package's files without its tests.
 func source(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", dir, "*.go"))
@@ -47,7 +47,7 @@
 	return text.String()
 }
 
-// loggingPackages are those that write log lines in a daemon.
+// loggingPackages are the packages that write log lines in an entry or an agent.
 var loggingPackages = []string{"agent", "daemon", "entry", "kernel", "member", "order"}
 
 var (
@@ -78,11 +78,11 @@
 	assert.DeepEqual(t, onPage, inCode)
 }
 
-// gatewayPackages are those that write log lines in a gateway, beside daemon.
+// gatewayPackages are the packages besides daemon that write log lines in a gateway.
 var gatewayPackages = []string{"discovery", "fleet", "scheduler", "gateway"}
 
-// The page that leads from a request's ID to its cause names each event that a
-// gateway writes.
+// The operations page must name each event that a gateway logs, because operators
+// use it to find the cause of a request's outcome.
 func TestOperationsPageListsEveryEvent(t *testing.T) {
 	page, _ := readParts(t)
 	onPage := make(map[string]bool)
@@ -106,7 +106,7 @@
 	}
 }
 
-// namesIn returns the values of the constants of a type.
+// namesIn returns the values of the constants of a type in a source text.
 func namesIn(text, typeName string) []string {
 	var names []string
 	pattern := regexp.MustCompile(`(?m)^\s+\w+\s+` + typeName + `\s+= "(\w+)"`)
--- a/daemon/tls_test.go
+++ b/daemon/tls_test.go
@@ -19,8 +19,8 @@
 
 const someInput = `{"input": {"text": "hello"}}`
 
-// connect makes a TLS connection and waits until the other side either takes
-// it, by waiting for the first message, or ends it.
+// connect opens a TLS connection and returns nil if the peer accepts it and waits
+// for the first message, or the error if the peer refuses it.
 func connect(t *testing.T, address net.Addr, cfg *tls.Config) error {
 	t.Helper()
 	conn, err := tls.Dial("tcp", address.String(), cfg)
@@ -36,11 +36,11 @@
 	return err
 }
 
-// Anyone who reaches a peer address could give an agent calls, or an entry
-// false reports. A process without a certificate of the fleet's authority, or
-// with one of another, must be turned away before its first message, and the
-// operator must see that somebody tried.
-func TestStrangersAreRefusedAndCounted(t *testing.T) {
+// Anyone who can reach a peer address could send calls to an agent or false
+// reports to an entry. A process without a certificate, or with one of another
+// authority, must be refused before its first message, and the refusal must be
+// counted and logged.
+func TestUnknownPeersAreRefusedAndCounted(t *testing.T) {
 	f := startFleet(t)
 	assert.Equal(t, f.send(someInput), http.StatusOK)
 	other := newAuthority(t)
@@ -52,57 +52,58 @@
 		{f.entry.PeerAddr(), f.entry.DebugAddr()},
 	} {
 		refused := func() int64 { return section[member.StatsSnapshot](f, p.debug, "member").PeerHandshakesRefused }
-		// A connection may be cut while the fleet comes together.
+		// A connection may be cut while the fleet starts, so compare with the present count.
 		before := refused()
 		assert.NilError(t, connect(t, p.peer, f.ca.config("entry")))
 		assert.Equal(t, refused(), before)
 		assert.ErrorContains(t, connect(t, p.peer, f.ca.config("")), "certificate")
 		assert.ErrorContains(t, connect(t, p.peer, foreign), "certificate")
-		f.eventually("both strangers are counted", func() bool { return refused() == before+2 })
+		f.eventually("both refusals are counted", func() bool { return refused() == before+2 })
 	}
 	assert.Assert(t, f.log.count("peer_refused") >= 4)
 	assert.Equal(t, f.send(someInput), http.StatusOK)
 }
 
-// Certificates are renewed while the fleet serves. The new pair must be shown
-// to whoever connects next, requests must go on, and a pair that does not load
-// must be told of while the one in use still works, not when it expires.
+// Certificates are renewed while the fleet serves. The next connections must use
+// the new pair, requests must continue, and a pair that fails to load must be
+// reported while the one in use is still valid, not when it expires.
 func TestCertificatesChangeWhileServing(t *testing.T) {
 	f := startFleet(t)
 	client := f.ca.config("entry")
-	shown := func(address net.Addr) int64 {
+	presented := func(address net.Addr) int64 {
 		conn, err := tls.Dial("tcp", address.String(), client)
 		assert.NilError(t, err)
 		defer func() { _ = conn.Close() }()
 		return conn.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 	}
-	assert.Equal(t, shown(f.agent.PeerAddr()), int64(10))
+	assert.Equal(t, presented(f.agent.PeerAddr()), int64(10))
 	f.ca.issue("agent", 11)
 	f.ca.issue("entry", 11)
-	f.eventually("both show the new certificate", func() bool {
-		return shown(f.agent.PeerAddr()) == 11 && shown(f.entry.PeerAddr()) == 11
+	f.eventually("both present the new certificate", func() bool {
+		return presented(f.agent.PeerAddr()) == 11 && presented(f.entry.PeerAddr()) == 11
 	})
 	dials := section[member.StatsSnapshot](f, f.entry.DebugAddr(), "member").Dials +
 		section[member.StatsSnapshot](f, f.agent.DebugAddr(), "member").Dials
-	// The entry, which sends the calls, knows at once that its connection is gone.
-	// Were it dropped at the agent, the next call could still be written to it.
+	// The connection is dropped at the entry, which sends the calls and so knows at
+	// once that it is closed. If the agent dropped it, the entry could still write
+	// the next call to it.
 	f.entry.member.DropConnections()
-	f.eventually("they have connected anew", func() bool {
+	f.eventually("they have reconnected", func() bool {
 		return section[member.StatsSnapshot](f, f.entry.DebugAddr(), "member").Dials+
 			section[member.StatsSnapshot](f, f.agent.DebugAddr(), "member").Dials > dials
 	})
 	f.waitUsable()
-	// The endpoint counts as usable a moment longer than its connection lives: a
-	// request in that moment may be refused as not run, and only that.
-	f.eventually("requests go on", func() bool { return f.send(someInput) == http.StatusOK })
+	// The endpoint stays usable for a moment after its connection is closed. A
+	// request in that moment may only be refused as not run.
+	f.eventually("requests continue", func() bool { return f.send(someInput) == http.StatusOK })
 	assert.Equal(t, f.log.count("unknown")+f.log.count("cut_short"), 0)
 
 	assert.NilError(t, os.WriteFile(f.ca.path("agent.pem"), []byte("broken"), 0o600))
-	f.eventually("the broken pair is told of", func() bool {
+	f.eventually("the broken pair is reported", func() bool {
 		stats := section[settings.TLSStats](f, f.agent.DebugAddr(), "tls")
 		return stats.LoadFailures > 0 && stats.LastFailure != "" && stats.Loads == 2
 	})
-	assert.Equal(t, shown(f.agent.PeerAddr()), int64(11))
+	assert.Equal(t, presented(f.agent.PeerAddr()), int64(11))
 	assert.Equal(t, f.send(someInput), http.StatusOK)
 }
 
