--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -10,7 +10,7 @@
 	"github.com/mangostage/mangostage/platform"
 )
 
-// Gateway are the settings of mangostage-gateway. Its addresses and its
+// Gateway holds the settings of mangostage-gateway. Its addresses and its
 // failure domain come from the platform's settings file.
 type Gateway struct {
 	NodeFile    string `arg:"--node-file,env:MANGOSTAGE_NODE_FILE" help:"settings file of the users' platform"`
@@ -19,41 +19,42 @@
 	MetricsPort int    `arg:"--metrics-port,env:MANGOSTAGE_METRICS_PORT" default:"9464" help:"port of /metrics on this VM's address; 0 for none"`
 }
 
-// LoadedGateway are the checked values that Gateway's text stands for.
+// LoadedGateway holds the parsed and checked values of a Gateway's settings.
 type LoadedGateway struct {
 	Platform platform.Settings
 	LogLevel zerolog.Level
 }
 
-// Load checks g and reads the platform's file.
+// Load checks g, reads the platform's settings file and adds what is wrong to
+// findings. The result is only valid if it added none.
 func (g *Gateway) Load(findings *finding.List) LoadedGateway {
 	var loaded LoadedGateway
 	if g.NodeFile == "" {
-		findings.Add(flag("--node-file"), "is missing; %s names it too", platform.SettingsVariable)
+		findings.Add(flagPlace("--node-file"), "is missing; %s names it too", platform.SettingsVariable)
 	} else {
 		loaded.Platform = platform.LoadSettings(g.NodeFile, findings)
 	}
 	if g.MetricsPort < 0 || g.MetricsPort > 65535 {
-		findings.Add(flag("--metrics-port"), "%d is no port", g.MetricsPort)
+		findings.Add(flagPlace("--metrics-port"), "%d is no port", g.MetricsPort)
 	}
 	if g.Advertise != "" {
 		if _, err := netip.ParseAddrPort(g.Advertise); err != nil {
-			findings.Add(flag("--advertise"), "%q is no ip:port: %v", g.Advertise, err)
+			findings.Add(flagPlace("--advertise"), "%q is no ip:port: %v", g.Advertise, err)
 		}
 	}
 	level, err := zerolog.ParseLevel(g.LogLevel)
 	if err != nil {
-		findings.Add(flag("--log-level"), "%v", err)
+		findings.Add(flagPlace("--log-level"), "%v", err)
 	}
 	loaded.LogLevel = level
 	return loaded
 }
 
-// Changed tells whether the platform's file says something else than loaded;
-// the findings tell what is wrong with it, if anything is.
+// Changed reports whether the platform's settings file now differs from loaded.
+// The findings list what is wrong with the file; if there are any, changed is false.
 func (g *Gateway) Changed(loaded LoadedGateway) (changed bool, findings finding.List) {
 	if _, err := os.Stat(g.NodeFile); err != nil {
-		findings.Add(flag("--node-file"), "%v", err)
+		findings.Add(flagPlace("--node-file"), "%v", err)
 		return false, findings
 	}
 	now := platform.LoadSettings(g.NodeFile, &findings)
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -36,7 +36,7 @@
 	file := writeNodeFile(t, nodeFile)
 	tests := map[string]struct {
 		gateway Gateway
-		// wants are parts of the findings; none means that there are none.
+		// wants are parts of the expected findings; empty if none are expected.
 		wants []string
 	}{
 		"good":               {Gateway{NodeFile: file, LogLevel: "info", Advertise: "10.0.0.1:8628"}, nil},
--- a/settings/help.go
+++ b/settings/help.go
@@ -2,14 +2,14 @@
 
 import "runtime/debug"
 
-// exitCodes ends the help text of every daemon.
+// exitCodes is the last part of the help text of every daemon.
 const exitCodes = `
 Exit codes:
   0  stopped in good order by SIGTERM or SIGINT
   1  an error, or calls were cut at the stop
   2  wrong settings; all of them are listed`
 
-// Version is the text of a program's --version.
+// Version returns the text of a program's --version.
 func Version(program string) string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -18,12 +18,12 @@
 	return program + " " + info.Main.Version + " " + info.GoVersion
 }
 
-// Description heads the help text.
+// Description returns the first part of the help text.
 func (Entry) Description() string {
 	return "mangostage-entry takes callers' requests and runs their pipelines on the endpoints."
 }
 
-// Epilogue ends the help text.
+// Epilogue returns the last part of the help text.
 func (Entry) Epilogue() string {
 	return `Example:
   mangostage-entry --vm entry-1 --domain winterthur --platform http://10.0.0.1:7500 \
@@ -32,15 +32,15 @@
 ` + exitCodes
 }
 
-// Version is the text of --version.
+// Version returns the text of --version.
 func (Entry) Version() string { return Version("mangostage-entry") }
 
-// Description heads the help text.
+// Description returns the first part of the help text.
 func (Agent) Description() string {
 	return "mangostage-agent runs beside one endpoint and is the only way to it."
 }
 
-// Epilogue ends the help text.
+// Epilogue returns the last part of the help text.
 func (Agent) Epilogue() string {
 	return `Example:
   mangostage-agent --vm vm-7 --domain winterthur --platform http://10.0.0.1:7500 \
@@ -50,5 +50,5 @@
 ` + exitCodes
 }
 
-// Version is the text of --version.
+// Version returns the text of --version.
 func (Agent) Version() string { return Version("mangostage-agent") }
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -10,11 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// row is one line of a settings table in docs/OPERATIONS.md.
+// row is one setting in a table of docs/OPERATIONS.md: its environment variable
+// and its default, or "required".
 type row struct{ env, value string }
 
 var settingRow = regexp.MustCompile("(?m)^\\| `(--[a-z-]+)` \\| `([A-Z_]+)` \\| ([^|]+) \\| [^|]+ \\|$")
 
+// documented returns the settings listed in docs/OPERATIONS.md by flag.
 func documented(t *testing.T) map[string]row {
 	t.Helper()
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
@@ -27,10 +29,11 @@
 	return rows
 }
 
-// optional are the settings without a default that may be left out.
+// optional holds the documented values of settings that have no default and may
+// be omitted.
 var optional = map[string]string{"--debug-listen": "none", "--insecure": "false"}
 
-// defined collects the flags of a settings struct from its go-arg tags.
+// defined adds the flags of a settings struct to rows, from its go-arg tags.
 func defined(t reflect.Type, rows map[string]row) {
 	for i := range t.NumField() {
 		f := t.Field(i)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the flags and environment of the daemons, checks all
-// of them at the start and reports every finding with the name of its flag.
+// Package settings parses the flags and environment variables of the daemons,
+// checks all of them at the start and reports every finding with the name of its
+// flag.
 package settings
 
 import (
@@ -20,7 +21,7 @@
 	"github.com/mangostage/mangostage/reqid"
 )
 
-// filePrefix marks a setting whose value is read from a file.
+// filePrefix is the prefix of a setting whose value is read from a file.
 const filePrefix = "file:"
 
 // Values of Common.DecisionLog.
@@ -29,7 +30,7 @@
 	DecisionLogRefusals = "refusals"
 )
 
-// Common are the settings of every daemon.
+// Common holds the settings that entries and agents share.
 type Common struct {
 	VM         string   `arg:"--vm,env:MANGOSTAGE_VM" help:"name of this VM in the platform's list"`
 	Domain     string   `arg:"--domain,env:MANGOSTAGE_DOMAIN" help:"failure domain of this VM"`
@@ -43,13 +44,13 @@
 	TLSCA      string   `arg:"--tls-ca,env:MANGOSTAGE_TLS_CA" help:"PEM file of the authorities that sign peers"`
 	Insecure   bool     `arg:"--insecure,env:MANGOSTAGE_INSECURE" help:"plain TCP between processes, for development only"`
 	LogLevel   string   `arg:"--log-level,env:MANGOSTAGE_LOG_LEVEL" default:"info" help:"debug, info, warn or error"`
-	// DecisionLog chooses which decisions are logged.
+	// DecisionLog selects which decisions are logged.
 	DecisionLog string `arg:"--decision-log,env:MANGOSTAGE_DECISION_LOG" default:"all" help:"decisions to log: all, or refusals, which leaves out those by which a request takes its course"`
-	// DebugListen serves /debug/vars and health on its own address.
+	// DebugListen is a separate address for /debug/vars and /healthz; empty for none.
 	DebugListen string `arg:"--debug-listen,env:MANGOSTAGE_DEBUG_LISTEN" help:"address of /debug/vars and /healthz; an entry without it serves them with the callers' API"`
 }
 
-// Entry are the settings of mangostage-entry.
+// Entry holds the settings of mangostage-entry.
 type Entry struct {
 	Common
 	Listen    string        `arg:"--listen,env:MANGOSTAGE_LISTEN" default:"0.0.0.0:7600" help:"address of the callers' HTTP API"`
@@ -57,7 +58,7 @@
 	MaxBody   int64         `arg:"--max-body,env:MANGOSTAGE_MAX_BODY" default:"1048576" help:"largest request body in bytes, whatever the bundle says"`
 }
 
-// Agent are the settings of mangostage-agent.
+// Agent holds the settings of mangostage-agent.
 type Agent struct {
 	Common
 	Endpoint    string `arg:"--endpoint,env:MANGOSTAGE_ENDPOINT" help:"name of the endpoint beside this agent"`
@@ -66,7 +67,7 @@
 	Protocol    string `arg:"--protocol,env:MANGOSTAGE_PROTOCOL" default:"service" help:"protocol of the endpoint: engine or service"`
 }
 
-// Parse fills dest from flags and environment.
+// Parse parses flags and environment variables into dest.
 func Parse(program string, dest any, args []string) (*arg.Parser, error) {
 	parser, err := arg.NewParser(arg.Config{Program: program}, dest)
 	if err != nil {
@@ -75,25 +76,27 @@
 	return parser, parser.Parse(args)
 }
 
-// Loaded are the checked values that Common's text stands for.
+// Loaded holds the parsed and checked values of Common's settings.
 type Loaded struct {
 	BundleKeys []ed25519.PublicKey
 	FleetKeys  []reqid.Key
 	LogLevel   zerolog.Level
-	// RefusalsOnly leaves routine decisions out of the log.
+	// RefusalsOnly is true if routine decisions are left out of the log.
 	RefusalsOnly bool
-	TLS          *TLS
+	// TLS is nil with --insecure.
+	TLS *TLS
 }
 
-// Load checks c and reads its key material.
+// Load checks c, reads its key material and adds what is wrong to findings. The
+// result is only valid if it added none.
 func (c *Common) Load(findings *finding.List) Loaded {
 	var loaded Loaded
-	required(findings, "--vm", c.VM)
-	required(findings, "--domain", c.Domain)
+	checkRequired(findings, "--vm", c.VM)
+	checkRequired(findings, "--domain", c.Domain)
 	checkAddress(findings, "--peer-listen", c.PeerListen)
 	checkURL(findings, "--platform", c.Platform)
 	if c.FleetSize < 0 {
-		findings.Add(flag("--fleet-size"), "%d is negative", c.FleetSize)
+		findings.Add(flagPlace("--fleet-size"), "%d is negative", c.FleetSize)
 	}
 	if c.DebugListen != "" {
 		checkAddress(findings, "--debug-listen", c.DebugListen)
@@ -102,10 +105,10 @@
 	loaded.FleetKeys = c.loadFleetKeys(findings)
 	level, err := zerolog.ParseLevel(c.LogLevel)
 	if err != nil {
-		findings.Add(flag("--log-level"), "%v", err)
+		findings.Add(flagPlace("--log-level"), "%v", err)
 	}
 	loaded.LogLevel = level
-	loaded.RefusalsOnly = c.checkDecisionLog(findings)
+	loaded.RefusalsOnly = c.refusalsOnly(findings)
 	loaded.TLS = c.loadTLS(findings)
 	return loaded
 }
@@ -114,61 +117,61 @@
 func (e *Entry) Check(findings *finding.List) {
 	checkAddress(findings, "--listen", e.Listen)
 	if e.DrainWait < 0 {
-		findings.Add(flag("--drain-wait"), "%v is negative", e.DrainWait)
+		findings.Add(flagPlace("--drain-wait"), "%v is negative", e.DrainWait)
 	}
 	if e.MaxBody <= 0 {
-		findings.Add(flag("--max-body"), "%d is not positive", e.MaxBody)
+		findings.Add(flagPlace("--max-body"), "%d is not positive", e.MaxBody)
 	}
 }
 
 // Check reports what is wrong with a beyond its common part.
 func (a *Agent) Check(findings *finding.List) {
-	required(findings, "--endpoint", a.Endpoint)
-	required(findings, "--pool", a.Pool)
+	checkRequired(findings, "--endpoint", a.Endpoint)
+	checkRequired(findings, "--pool", a.Pool)
 	checkURL(findings, "--endpoint-url", a.EndpointURL)
 	switch bundle.Protocol(a.Protocol) {
 	case bundle.ProtocolEngine, bundle.ProtocolService:
 	default:
-		findings.Add(flag("--protocol"), "%q is neither engine nor service", a.Protocol)
+		findings.Add(flagPlace("--protocol"), "%q is neither engine nor service", a.Protocol)
 	}
 }
 
-// checkDecisionLog tells whether only refusals are to be logged. Empty, as in
-// settings made by a program, means all decisions.
-func (c *Common) checkDecisionLog(findings *finding.List) bool {
+// refusalsOnly checks DecisionLog and reports whether only refusals are logged.
+// An empty value, as in settings that a program creates, means all decisions.
+func (c *Common) refusalsOnly(findings *finding.List) bool {
 	switch c.DecisionLog {
 	case "", DecisionLogAll:
 		return false
 	case DecisionLogRefusals:
 		return true
 	}
-	findings.Add(flag("--decision-log"), "%q is neither %s nor %s", c.DecisionLog, DecisionLogAll, DecisionLogRefusals)
+	findings.Add(flagPlace("--decision-log"), "%q is neither %s nor %s", c.DecisionLog, DecisionLogAll, DecisionLogRefusals)
 	return false
 }
 
 func (c *Common) loadBundleKeys(findings *finding.List) []ed25519.PublicKey {
-	text, ok := secret(findings, "--bundle-keys", c.BundleKeys)
+	text, ok := readValue(findings, "--bundle-keys", c.BundleKeys)
 	if !ok {
 		return nil
 	}
 	keys, err := bundle.LoadPublicKeys(text)
 	if err != nil {
-		findings.Add(flag("--bundle-keys"), "%v", err)
+		findings.Add(flagPlace("--bundle-keys"), "%v", err)
 	}
 	return keys
 }
 
 func (c *Common) loadFleetKeys(findings *finding.List) []reqid.Key {
-	required(findings, "--fleet-key", strings.Join(c.FleetKeys, ""))
+	checkRequired(findings, "--fleet-key", strings.Join(c.FleetKeys, ""))
 	var keys []reqid.Key
 	for _, value := range c.FleetKeys {
-		text, ok := secret(findings, "--fleet-key", value)
+		text, ok := readValue(findings, "--fleet-key", value)
 		if !ok {
 			continue
 		}
 		key, err := hex.DecodeString(strings.TrimSpace(string(text)))
 		if err != nil || len(key) < reqid.MinKeyLen {
-			findings.Add(flag("--fleet-key"), "not a hex key of at least %d bytes", reqid.MinKeyLen)
+			findings.Add(flagPlace("--fleet-key"), "not a hex key of at least %d bytes", reqid.MinKeyLen)
 			continue
 		}
 		keys = append(keys, reqid.Key(key))
@@ -176,10 +179,11 @@
 	return keys
 }
 
-// secret returns a setting's value, from a file if it says so.
-func secret(findings *finding.List, name, value string) ([]byte, bool) {
+// readValue returns a required setting's value, or the content of its file if it
+// has filePrefix. It returns false after it has added a finding.
+func readValue(findings *finding.List, name, value string) ([]byte, bool) {
 	if value == "" {
-		required(findings, name, value)
+		checkRequired(findings, name, value)
 		return nil, false
 	}
 	path, isFile := strings.CutPrefix(value, filePrefix)
@@ -188,33 +192,34 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		findings.Add(flag(name), "%v", err)
+		findings.Add(flagPlace(name), "%v", err)
 		return nil, false
 	}
 	return text, true
 }
 
-func flag(name string) finding.Place { return finding.Place{Name: name} }
+// flagPlace returns the place of a finding on a flag.
+func flagPlace(name string) finding.Place { return finding.Place{Name: name} }
 
-func required(findings *finding.List, name, value string) {
+func checkRequired(findings *finding.List, name, value string) {
 	if value == "" {
-		findings.Add(flag(name), "is required")
+		findings.Add(flagPlace(name), "is required")
 	}
 }
 
 func checkAddress(findings *finding.List, name, value string) {
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		findings.Add(flag(name), "%q is not host:port: %v", value, err)
+		findings.Add(flagPlace(name), "%q is not host:port: %v", value, err)
 	}
 }
 
 func checkURL(findings *finding.List, name, value string) {
 	if value == "" {
-		required(findings, name, value)
+		checkRequired(findings, name, value)
 		return
 	}
 	u, err := url.Parse(value)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		findings.Add(flag(name), "%q is not an http or https URL", value)
+		findings.Add(flagPlace(name), "%q is not an http or https URL", value)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -47,8 +47,8 @@
 	assert.Equal(t, len(loaded.FleetKeys), 1)
 }
 
-// An operator who starts a daemon with several wrong settings must see all of
-// them at once, each with its flag, and not one for each restart.
+// A daemon that is started with several wrong settings must report all of them at
+// once, each with its flag, instead of one per restart.
 func TestFindingsAreReportedTogether(t *testing.T) {
 	var s Agent
 	_, err := Parse("mangostage-agent", &s, []string{
@@ -67,7 +67,7 @@
 	}
 }
 
-// writePair writes a certificate with the serial number, signed by itself.
+// writePair writes a self-signed certificate with the serial number and its key.
 func writePair(t *testing.T, dir string, serial int64) (certFile, keyFile string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -91,17 +91,16 @@
 	return certFile, keyFile
 }
 
-// An operator renews a certificate while the process runs. Without a reload
-// the process would go on with the old one and lose its peers when it expires.
-// A new pair must be in use after the next check; a broken one must not
-// replace the one that works.
+// A certificate is renewed while the process runs. Without a reload the process
+// would keep the old one and lose its peers when it expires. A new pair must be in
+// use after the next check; a broken pair must not replace the one in use.
 func TestCertificateIsReloaded(t *testing.T) {
 	dir := t.TempDir()
 	certFile, keyFile := writePair(t, dir, 1)
 	loaded, err := newTLS(certFile, keyFile, certFile)
 	assert.NilError(t, err)
 	serial := func(now time.Time) int64 {
-		leaf, err := x509.ParseCertificate(loaded.current(now).Certificate[0])
+		leaf, err := x509.ParseCertificate(loaded.currentCert(now).Certificate[0])
 		assert.NilError(t, err)
 		return leaf.SerialNumber.Int64()
 	}
@@ -117,12 +116,12 @@
 	assert.Equal(t, serial(latest), int64(2))
 }
 
-func TestPeersProveThemselves(t *testing.T) {
+func TestPeersAreAuthenticated(t *testing.T) {
 	certFile, keyFile := writePair(t, t.TempDir(), 1)
 	ours, err := newTLS(certFile, keyFile, certFile)
 	assert.NilError(t, err)
-	strangerCert, strangerKey := writePair(t, t.TempDir(), 2)
-	stranger, err := newTLS(strangerCert, strangerKey, certFile)
+	otherCert, otherKey := writePair(t, t.TempDir(), 2)
+	other, err := newTLS(otherCert, otherKey, certFile)
 	assert.NilError(t, err)
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", ours.Config())
 	assert.NilError(t, err)
@@ -147,5 +146,5 @@
 		return err
 	}
 	assert.NilError(t, read(ours))
-	assert.ErrorContains(t, read(stranger), "certificate")
+	assert.ErrorContains(t, read(other), "certificate")
 }
