--- a/bundle/holder.go
+++ b/bundle/holder.go
@@ -13,8 +13,8 @@
 
 const (
 	// maxPreviousBundles is how many bundles a process keeps besides the one in
-	// force, for requests that began under them. It bounds memory to
-	// maxPreviousBundles times the decoded bundle plus MaxBytes of signed value.
+	// force, for requests that began under them. Each takes at most MaxBytes of
+	// signed value plus what that decodes to.
 	maxPreviousBundles = 8
 	// maxConflictHashes is how many hashes of one version in conflict are
 	// remembered, so that rejected contents are not fetched from peers repeatedly.
@@ -134,7 +134,7 @@
 }
 
 // Offer verifies a published value and adopts it if it supersedes the bundle in
-// force. While the holder is collecting, the value only becomes the candidate.
+// force. While the holder is collecting, the value can only become the candidate.
 // source names the origin for the log.
 func (h *Holder) Offer(now time.Time, signed []byte, source string) Adoption {
 	a := Adoption{At: now, Source: source}
--- a/bundle/schema.go
+++ b/bundle/schema.go
@@ -9,7 +9,8 @@
 
 // Limits on a bundle.
 const (
-	// MaxBytes is the largest value that the configuration service holds.
+	// MaxBytes is the size in bytes of the largest value that the configuration
+	// service holds.
 	MaxBytes = 1 << 20
 	// MaxStages is the largest number of stages in a pipeline.
 	MaxStages = 6
@@ -41,7 +42,7 @@
 // Policy holds the parameters of routing, retries and limits.
 type Policy struct {
 	Name PolicyName `yaml:"name" json:"name"`
-	// RetryBudget is the most retries as a share of successes, per pool.
+	// RetryBudget is the maximum ratio of retries to successes, per pool.
 	RetryBudget float64 `yaml:"retry_budget" json:"retry_budget"`
 	// MaxAttempts bounds the attempts of one stage of one request.
 	MaxAttempts int `yaml:"max_attempts" json:"max_attempts"`
@@ -58,8 +59,8 @@
 	DrainAfter Duration `yaml:"drain_after" json:"drain_after"`
 	// KeyRetention is how long a finished unrepeatable call is remembered.
 	KeyRetention Duration `yaml:"key_retention" json:"key_retention"`
-	// ModelLoadsPerMinute is the most models that all engines together load
-	// from the weight store in a minute.
+	// ModelLoadsPerMinute is the maximum number of models that all engines together
+	// load from the weight store in a minute.
 	ModelLoadsPerMinute float64 `yaml:"model_loads_per_minute" json:"model_loads_per_minute"`
 	// MaxClockSkew bounds the difference between the clocks of two VMs.
 	MaxClockSkew Duration `yaml:"max_clock_skew" json:"max_clock_skew"`
@@ -69,7 +70,7 @@
 type Account struct {
 	Name string `yaml:"name" json:"name"`
 	// CredentialSHA256 lists the hex SHA-256 hashes of accepted bearer
-	// credentials; several allow a change without interruption.
+	// credentials; several allow rotation without interruption.
 	CredentialSHA256 []string `yaml:"credential_sha256" json:"credential_sha256"`
 	// Weight is the account's share among accounts of equal priority.
 	Weight int `yaml:"weight" json:"weight"`
@@ -80,7 +81,7 @@
 	Pipelines []string `yaml:"pipelines" json:"pipelines,omitempty"`
 }
 
-// Limit bounds an account over the whole fleet.
+// Limit bounds the requests of an account over the whole fleet.
 type Limit struct {
 	RequestsPerSecond float64 `yaml:"requests_per_second" json:"requests_per_second"`
 	Burst             int     `yaml:"burst" json:"burst"`
@@ -93,7 +94,7 @@
 	CredentialSHA256 []string `yaml:"credential_sha256" json:"credential_sha256"`
 }
 
-// Protocol names the plug-in that speaks to an endpoint.
+// Protocol names the plug-in that calls an endpoint.
 type Protocol string
 
 // The endpoint protocols.
@@ -109,7 +110,7 @@
 type Pool struct {
 	Name     string   `yaml:"name" json:"name"`
 	Protocol Protocol `yaml:"protocol" json:"protocol"`
-	// Endpoints is the number expected, for checks and capacity.
+	// Endpoints is the expected number of endpoints, for checks and capacity.
 	Endpoints int `yaml:"endpoints" json:"endpoints"`
 	// Concurrency is how many calls one endpoint runs at once.
 	Concurrency int `yaml:"concurrency" json:"concurrency"`
@@ -142,7 +143,7 @@
 	Model string `yaml:"model" json:"model,omitempty"`
 	// Typical is the expected service time, used until times are measured.
 	Typical Duration `yaml:"typical" json:"typical"`
-	// Unrepeatable stages run at most once for a request identity.
+	// Unrepeatable is true if the stage must run at most once per request identity.
 	Unrepeatable bool `yaml:"unrepeatable" json:"unrepeatable,omitempty"`
 	MaxTokens    int  `yaml:"max_tokens" json:"max_tokens,omitempty"`
 }
@@ -153,12 +154,12 @@
 // D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// MarshalText writes d like "4s".
+// MarshalText formats d like "4s".
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads a duration like "4s".
+// UnmarshalText parses a duration like "4s".
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -106,7 +106,7 @@
 			{Process: "entry", Records: []Record{admitted, routed(1), notWritten, final(6, api.OutcomeRefused)}},
 			{Process: "ep-1", Records: agentPart},
 		}, api.OutcomeUnknown, true, true, nil},
-		{"one sending refused, another ran", []Part{
+		{"one submission refused, another ran", []Part{
 			{Process: "entry-2", Records: []Record{admitted, withEntry(final(6, api.OutcomeRefused), "entry-2@1#1")}},
 			{Process: "ep-1", Records: agentPart},
 		}, api.OutcomeUnknown, false, false, []string{"the entry's part"}},
--- a/ledger/merge.go
+++ b/ledger/merge.go
@@ -26,7 +26,7 @@
 	// Complete is true if there are records and no gaps.
 	Complete bool `json:"complete"`
 	// Contradicted is true if the records of different processes contradict each
-	// other: a caller was told that its request did not run, and a stage of it ran.
+	// other: a caller was told that its submission did not run, and a stage of it ran.
 	Contradicted bool `json:"contradicted,omitempty"`
 	// Verdict is one sentence with the outcome and the evidence for it.
 	Verdict string `json:"verdict"`
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -46,7 +46,8 @@
 	LogLevel   string   `arg:"--log-level,env:MANGOSTAGE_LOG_LEVEL" default:"info" help:"debug, info, warn or error"`
 	// DecisionLog selects which decisions are logged.
 	DecisionLog string `arg:"--decision-log,env:MANGOSTAGE_DECISION_LOG" default:"all" help:"decisions to log: all, or refusals, which leaves out those by which a request takes its course"`
-	// DebugListen is a separate address for /debug/vars and /healthz; empty for none.
+	// DebugListen is a separate address for /debug/vars and /healthz. If it is empty,
+	// an entry serves them with the callers' API and an agent does not serve them.
 	DebugListen string `arg:"--debug-listen,env:MANGOSTAGE_DEBUG_LISTEN" help:"address of /debug/vars and /healthz; an entry without it serves them with the callers' API"`
 }
 
