--- a/bundle/decode_test.go
+++ b/bundle/decode_test.go
@@ -26,7 +26,7 @@
 
 	b, err = Decode("f", []byte(sampleWith(t, "version: 3", "version: 3\npolicy: {affinity: 0, max_clock_skew: 0s}")))
 	assert.NilError(t, err)
-	assert.Equal(t, b.Policy.Affinity, 0.0, "an explicit zero is no omission")
+	assert.Equal(t, b.Policy.Affinity, 0.0, "an explicit zero must be kept")
 	assert.Equal(t, b.Policy.MaxClockSkew, Duration(0))
 	assert.Equal(t, b.Policy.MaxAttempts, DefaultMaxAttempts)
 }
@@ -64,7 +64,7 @@
 	assert.Assert(t, errors.As(err, &findings))
 }
 
-func TestDecodeRefusesForm(t *testing.T) {
+func TestDecodeRefusesMalformedFiles(t *testing.T) {
 	deep := strings.Repeat("[", maxNesting+1)
 	for _, c := range []struct{ yaml, want string }{
 		{"", "f:1:1: file is empty"},
--- a/bundle/jsonschema_test.go
+++ b/bundle/jsonschema_test.go
@@ -24,7 +24,7 @@
 	assert.NilError(t, err)
 	got, err := os.ReadFile("../docs/bundle.schema.json")
 	assert.NilError(t, err)
-	assert.Equal(t, string(got), string(want), "write it anew: go run ./cmd/mangostage bundle schema > docs/bundle.schema.json")
+	assert.Equal(t, string(got), string(want), "regenerate it: go run ./cmd/mangostage bundle schema > docs/bundle.schema.json")
 }
 
 // collect adds the names of all properties below a node to names.
@@ -93,15 +93,15 @@
 		}
 		lines++
 		_, err := Check("b", []byte(strings.Replace(minimalBundle, line, "", 1)))
-		assert.Assert(t, err != nil, "Check does not miss %q", line)
+		assert.Assert(t, err != nil, "Check accepts a bundle without %q", line)
 	}
 	// The list of stages is required too, and has no line with a value.
 	assert.Equal(t, required, lines+1)
 	_, err = Check("b", []byte(minimalBundle[:strings.Index(minimalBundle, "    stages:")]))
-	assert.Assert(t, err != nil, "Check does not miss the stages")
+	assert.Assert(t, err != nil, "Check accepts a bundle without stages")
 }
 
-func TestSchemaEnumsAreWhatCheckTakes(t *testing.T) {
+func TestSchemaEnumsAreWhatCheckAccepts(t *testing.T) {
 	root := parsedSchema(t)
 	policies := root.Properties["policy"].Properties["name"].Enum
 	protocols := root.Properties["pools"].Items.Properties["protocol"].Enum
