--- a/soak/book_test.go
+++ b/soak/book_test.go
@@ -11,66 +11,71 @@
 )
 
 const (
-	// leaveBound is how long a leaving endpoint may still get requests.
-	leaveBound = 2 * time.Second
-	// slackAfter is how long a fault counts beside its own time: what it held
-	// up arrives later, and processes have to look again.
-	slackAfter = 4 * time.Second
+	// drainLimit is how long an endpoint may still receive requests after it is
+	// listed as draining or its failure domain is evacuated.
+	drainLimit = 2 * time.Second
+	// faultSlack extends the time of a fault: requests that it delayed arrive
+	// later, and processes have to detect that it is over.
+	faultSlack = 4 * time.Second
 )
 
-// book keeps what clients and endpoints have seen.
-type book struct {
-	mu     sync.Mutex
-	runs   map[string]int
-	ends   map[string]outcome
-	broken []string
-	// faults are the times of faults other than planned work.
+// recorder collects what clients and endpoints observe, and violations of the
+// product's guarantees.
+type recorder struct {
+	mu sync.Mutex
+	// runs counts the runs at endpoints by request ID.
+	runs       map[string]int
+	outcomes   map[string]outcome
+	violations []string
+	// faults are the time spans of injected faults, without planned work.
 	faults []span
-	// strays are requests to a gateway that was stopping, and have no answer:
-	// none may have run.
-	strays []string
-	// served counts answers by kind.
-	served map[string]int
-	// restarts counts endpoints that started again under their IDs.
+	// unanswered are the IDs of requests that were sent to a stopping gateway and
+	// got no complete answer: none of them may have run.
+	unanswered []string
+	// answerCounts counts answers by route and status.
+	answerCounts map[string]int
+	// restarts counts endpoints that restarted under the same ID.
 	restarts int
 }
 
 type span struct{ from, to time.Time }
 
-// outcome is what a client got for one request.
+// outcome is the result of one request at its client; status is 0 if there was
+// no response.
 type outcome struct {
 	route  string
 	status int
 }
 
-func newBook() *book {
-	return &book{runs: make(map[string]int), ends: make(map[string]outcome), served: make(map[string]int)}
+func newRecorder() *recorder {
+	return &recorder{runs: make(map[string]int), outcomes: make(map[string]outcome), answerCounts: make(map[string]int)}
 }
 
-// breaks notes a broken promise.
-func (b *book) breaks(format string, args ...any) {
+// addViolation records that a guarantee was broken.
+func (b *recorder) addViolation(format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.broken = append(b.broken, fmt.Sprintf(format, args...))
+	b.violations = append(b.violations, fmt.Sprintf(format, args...))
 }
 
-// restarted notes that an endpoint is back under its ID.
-func (b *book) restarted() {
+// recordRestart counts an endpoint that restarted under the same ID.
+func (b *recorder) recordRestart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.restarts++
 }
 
-// fault notes that no bound on time holds until the end of d and a slack.
-func (b *book) fault(d time.Duration) {
+// recordFault records a fault that lasts for d from now. Until faultSlack after
+// its end no time limit is checked.
+func (b *recorder) recordFault(d time.Duration) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.faults = append(b.faults, span{from: now, to: now.Add(d + slackAfter)})
+	b.faults = append(b.faults, span{from: now, to: now.Add(d + faultSlack)})
 }
 
-// calm tells whether no fault touches the span.
-func (b *book) calm(from, to time.Time) bool {
+// faultFree reports whether no fault overlaps the time between from and to.
+func (b *recorder) faultFree(from, to time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, f := range b.faults {
@@ -81,103 +86,108 @@
 	return true
 }
 
-// ran notes a run at an endpoint.
-func (b *book) ran(run standin.Run, endpoint string, leftAt time.Time) {
+// recordRun counts a run at an endpoint and checks its headers. drainedAt is when
+// the endpoint began to drain, or zero.
+func (b *recorder) recordRun(run standin.Run, endpoint string, drainedAt time.Time) {
 	b.mu.Lock()
 	b.runs[run.ID]++
 	b.mu.Unlock()
 	if run.Header.Get("Mangostage-Tenant") != "acme" {
-		b.breaks("%s ran for account %q", run.ID, run.Header.Get("Mangostage-Tenant"))
+		b.addViolation("%s ran for account %q", run.ID, run.Header.Get("Mangostage-Tenant"))
 	}
 	if run.Header.Get("Authorization") != "" {
-		b.breaks("%s showed the client's key to %s", run.ID, endpoint)
+		b.addViolation("%s forwarded the client's API key to %s", run.ID, endpoint)
 	}
 	if strings.HasPrefix(run.Target, "/staged/") {
-		b.inputs(run)
+		b.checkInputs(run)
 	}
 	now := time.Now()
-	if !leftAt.IsZero() && now.Sub(leftAt) > leaveBound && b.calm(leftAt, now) {
-		b.breaks("%s reached %s %v after it began to leave", run.ID, endpoint, now.Sub(leftAt))
+	if !drainedAt.IsZero() && now.Sub(drainedAt) > drainLimit && b.faultFree(drainedAt, now) {
+		b.addViolation("%s reached %s %v after it began to drain", run.ID, endpoint, now.Sub(drainedAt))
 	}
 }
 
-// late checks that nothing reaches an endpoint of an evacuated failure domain.
-func (b *book) late(what, endpoint string, emptied time.Time) {
+// checkEvacuated checks that nothing reaches an endpoint of a failure domain
+// more than drainLimit after its evacuation.
+func (b *recorder) checkEvacuated(what, endpoint string, evacuatedAt time.Time) {
 	now := time.Now()
-	if !emptied.IsZero() && now.Sub(emptied) > leaveBound && b.calm(emptied, now) {
-		b.breaks("%s reached %s %v after its failure domain was evacuated", what, endpoint, now.Sub(emptied))
+	if !evacuatedAt.IsZero() && now.Sub(evacuatedAt) > drainLimit && b.faultFree(evacuatedAt, now) {
+		b.addViolation("%s reached %s %v after its failure domain was evacuated", what, endpoint, now.Sub(evacuatedAt))
 	}
 }
 
-// inputs checks that a request got the results of its own last stage, all and
-// each once.
-func (b *book) inputs(run standin.Run) {
+// checkInputs checks that a request got each result of its own last stage
+// exactly once.
+func (b *recorder) checkInputs(run standin.Run) {
 	handles := strings.Split(run.Header.Get("Mangostage-Inputs"), ",")
 	seen := make(map[string]bool)
 	for _, h := range handles {
 		_, name, _ := strings.Cut(h, "/")
 		if !strings.HasPrefix(name, run.ID+".1.") || seen[name] {
-			b.breaks("%s got input %s of %v", run.ID, h, handles)
+			b.addViolation("%s got input %s of %v", run.ID, h, handles)
 		}
 		seen[name] = true
 	}
 	if len(seen) != 2 {
-		b.breaks("%s got %d inputs", run.ID, len(seen))
+		b.addViolation("%s got %d inputs", run.ID, len(seen))
 	}
 }
 
-// piece checks that a piece has the inputs of its own request.
-func (b *book) piece(p standin.Piece) {
+// checkPiece checks that a segment has the key or the inputs of its own request.
+func (b *recorder) checkPiece(p standin.Piece) {
 	if p.Phase == 0 {
 		if p.Key != "key-"+p.ID {
-			b.breaks("piece of %s has key %q", p.ID, p.Key)
+			b.addViolation("segment of %s has key %q", p.ID, p.Key)
 		}
 		return
 	}
 	if len(p.Inputs) != 3 {
-		b.breaks("piece of %s has %d inputs", p.ID, len(p.Inputs))
+		b.addViolation("segment of %s has %d inputs", p.ID, len(p.Inputs))
 	}
 	for _, h := range p.Inputs {
 		if !strings.Contains(h, "/"+p.ID+".0.") {
-			b.breaks("piece of %s has input %s", p.ID, h)
+			b.addViolation("segment of %s has input %s", p.ID, h)
 		}
 	}
 }
 
-// ended notes a client's outcome.
-func (b *book) ended(id, route string, status int) {
+// recordOutcome records the result of a request at its client.
+func (b *recorder) recordOutcome(id, route string, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ends[id] = outcome{route: route, status: status}
-	b.served[fmt.Sprintf("%s %d", route, status)]++
+	b.outcomes[id] = outcome{route: route, status: status}
+	b.answerCounts[fmt.Sprintf("%s %d", route, status)]++
 }
 
-// unanswered notes a request that a stopping gateway may only have left unread.
-func (b *book) unanswered(id string) {
+// recordUnanswered records a request without an answer that a stopping gateway
+// may have left unread, but must not have run.
+func (b *recorder) recordUnanswered(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.strays = append(b.strays, id)
+	b.unanswered = append(b.unanswered, id)
 }
 
-// settle checks what holds only in the end.
-func (b *book) settle() []string {
+// finalViolations makes the checks that need the final counts: a request that may
+// run only once did not run twice, nor after a refusal, nor unanswered at a
+// stopping gateway. It returns all violations of the run.
+func (b *recorder) finalViolations() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, o := range b.ends {
+	for id, o := range b.outcomes {
 		repeatable := o.route == "idem" || o.route == "resume" || strings.HasPrefix(o.route, "v")
 		runs := b.runs[id]
 		if !repeatable && runs > 1 {
-			b.broken = append(b.broken, fmt.Sprintf("%s on %s ran %d times", id, o.route, runs))
+			b.violations = append(b.violations, fmt.Sprintf("%s on %s ran %d times", id, o.route, runs))
 		}
 		refused := o.status == http.StatusServiceUnavailable || o.status == http.StatusTooManyRequests
 		if !repeatable && refused && runs > 0 {
-			b.broken = append(b.broken, fmt.Sprintf("%s on %s was refused with %d and ran", id, o.route, o.status))
+			b.violations = append(b.violations, fmt.Sprintf("%s on %s was refused with %d and ran", id, o.route, o.status))
 		}
 	}
-	for _, id := range b.strays {
+	for _, id := range b.unanswered {
 		if b.runs[id] > 0 {
-			b.broken = append(b.broken, fmt.Sprintf("%s was taken by a stopping gateway, ran, and has no whole answer", id))
+			b.violations = append(b.violations, fmt.Sprintf("%s was accepted by a stopping gateway, ran, and got no complete answer", id))
 		}
 	}
-	return b.broken
+	return b.violations
 }
--- a/soak/clients_test.go
+++ b/soak/clients_test.go
@@ -11,47 +11,48 @@
 	"time"
 )
 
-// straySteps: one client in so many stays with a gateway that stops.
-const straySteps = 4
+// persistentClientStep is the interval of persistent clients: every fourth client
+// keeps using a gateway that is stopping.
+const persistentClientStep = 4
 
-// clientTimeout is a little more than the clients' deadline.
+// clientTimeout is a little more than the deadline of 4 s that clients send.
 const clientTimeout = 5 * time.Second
 
-// client sends requests one after the other until ctx ends. It keeps its
-// connections open, as the users' clients do.
-func (r *rig) client(ctx context.Context, n int, seed uint64) {
+// runClient sends requests one after the other until ctx ends. It keeps its
+// connections alive, as real clients do.
+func (r *rig) runClient(ctx context.Context, n int, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	transport := &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	var g *gateway
 	for i := 0; ctx.Err() == nil; i++ {
-		// Some clients stay with their gateway and its connections, whatever
-		// the balancer says, until it is gone.
-		if stays := n%straySteps == 0 && g != nil && g.Running(); !stays {
-			g = r.choose(rng)
+		// A persistent client keeps its gateway and connections until the
+		// process has exited, whatever the load balancer says.
+		if persistent := n%persistentClientStep == 0 && g != nil && g.Running(); !persistent {
+			g = r.pickGateway(rng)
 		}
 		if g == nil {
 			wait(20 * time.Millisecond)
 			continue
 		}
-		if g.out() {
-			// As much as such a client honours of when it may come back.
+		if g.outOfRotation() {
+			// A persistent client waits only this long, whatever Retry-After says.
 			wait(20 * time.Millisecond)
 		}
 		route := []string{"once", "idem", "stream", "resume", "staged", "staged", "version", "long"}[rng.IntN(8)]
-		r.ask(transport, g, route, fmt.Sprintf("c%d-%d-%d", seed, n, i))
+		r.sendAndCheck(transport, g, route, fmt.Sprintf("c%d-%d-%d", seed, n, i))
 	}
 }
 
-// out tells whether the balancer sends no clients to the gateway.
-func (g *gateway) out() bool {
+// outOfRotation reports whether the load balancer sends no clients to the gateway.
+func (g *gateway) outOfRotation() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.inRotation
 }
 
-// choose returns a gateway that the balancer sends clients to; nil if there is none.
-func (r *rig) choose(rng *rand.Rand) *gateway {
+// pickGateway returns a random gateway that is in rotation, or nil if there is none.
+func (r *rig) pickGateway(rng *rand.Rand) *gateway {
 	var usable []*gateway
 	for _, g := range r.gateways {
 		g.mu.Lock()
@@ -66,81 +67,84 @@
 	return usable[rng.IntN(len(usable))]
 }
 
-// ask sends one request and checks its answer.
-func (r *rig) ask(transport http.RoundTripper, g *gateway, route, id string) {
+// sendAndCheck sends one request, records its outcome and checks the answer.
+func (r *rig) sendAndCheck(transport http.RoundTripper, g *gateway, route, id string) {
 	g.mu.Lock()
-	life, version := g.life, g.version
+	incarnation, version := g.incarnation, g.version
 	g.mu.Unlock()
 	if route == "version" {
 		version = max(1, r.currentVersion())
 		route = "v" + strconv.Itoa(version)
 	}
 	body := strings.Repeat("x", len(id)%7)
-	stray := g.out()
+	outOfRotation := g.outOfRotation()
 	began := time.Now()
 	status, answer, err := send(transport, g.frontend, route, id, body)
 	ended := time.Now()
-	r.book.ended(id, route, status)
+	r.recorder.recordOutcome(id, route, status)
 	switch {
-	case err != nil && stray:
-		if r.book.calm(began, ended) {
-			r.book.unanswered(id)
+	case err != nil && outOfRotation:
+		if r.recorder.faultFree(began, ended) {
+			r.recorder.recordUnanswered(id)
 		}
 	case err != nil:
-		if r.book.calm(began, ended) {
-			r.book.breaks("%s on %s at %s: no whole answer: %v", id, route, g.name, err)
+		if r.recorder.faultFree(began, ended) {
+			r.recorder.addViolation("%s on %s at %s: no complete answer: %v", id, route, g.name, err)
 		}
 	case status == http.StatusOK:
-		if want := wanted(route, id, body); answer != want {
-			r.book.breaks("%s on %s: got %q, want %q", id, route, answer, want)
+		if want := expectedAnswer(route, id, body); answer != want {
+			r.recorder.addViolation("%s on %s: got %q, want %q", id, route, answer, want)
 		}
-		g.saw(life, version, route)
+		g.recordVersion(incarnation, version, route)
 	case status == http.StatusNotFound:
-		r.checkRegress(g, life, route)
+		r.checkRollback(g, incarnation, route)
 	case status == http.StatusUnauthorized:
-		r.book.breaks("%s: a known key was refused", id)
+		r.recorder.addViolation("%s: a valid API key was refused", id)
 	}
 }
 
-// saw notes that a version was in force.
-func (g *gateway) saw(life, version int, route string) {
+// recordVersion records that the version of a versioned route was in force in the
+// given incarnation.
+func (g *gateway) recordVersion(incarnation, version int, route string) {
 	if !strings.HasPrefix(route, "v") {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.life == life {
+	if g.incarnation == incarnation {
 		g.version = max(g.version, version)
 	}
 }
 
-// checkRegress tells whether a route is missing that was in force before in the
-// same incarnation.
-func (r *rig) checkRegress(g *gateway, life int, route string) {
+// checkRollback records a violation if a route is unknown that never goes away, or
+// that was in force before in the same incarnation.
+func (r *rig) checkRollback(g *gateway, incarnation int, route string) {
 	version, err := strconv.Atoi(strings.TrimPrefix(route, "v"))
 	if err != nil {
-		r.book.breaks("route %s is unknown at %s", route, g.name)
+		r.recorder.addViolation("route %s is unknown at %s", route, g.name)
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.life == life && version < g.version {
-		r.book.breaks("%s went back behind version %d: %s is unknown", g.name, g.version, route)
+	if g.incarnation == incarnation && version < g.version {
+		r.recorder.addViolation("%s went back to before version %d: %s is unknown", g.name, g.version, route)
 	}
 }
 
-func wanted(route, id, body string) string {
+// expectedAnswer returns the body of the right answer to a request.
+func expectedAnswer(route, id, body string) string {
 	if route == "once" || route == "idem" || strings.HasPrefix(route, "v") {
 		return plainBody(id, body)
 	}
 	var b strings.Builder
-	for i := 1; i <= events; i++ {
-		b.WriteString(event(id, i))
+	for i := 1; i <= streamEvents; i++ {
+		b.WriteString(formatEvent(id, i))
 	}
 	return b.String()
 }
 
-// send makes one request; err is set if no whole answer came.
+// send makes one request and returns its status and body, or an error if no
+// complete answer arrived.
 func send(transport http.RoundTripper, addr, route, id, body string) (int, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
@@ -152,7 +156,7 @@
 	req.Host = "a.example"
 	req.Header.Set("Mangostage-Attempt-Id", id)
 	req.Header.Set("Mangostage-Deadline-Ms", "4000")
-	req.Header.Set("Authorization", "Token "+key)
+	req.Header.Set("Authorization", "Token "+apiKey)
 	if route == "staged" {
 		req.Header.Set("Mangostage-Segments", "3,2")
 		req.Header.Set("Mangostage-Segment-Key", "key-"+id)
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -7,43 +7,47 @@
 )
 
 const (
-	// addedRoutes is how many routes the configuration grows by at once, and
-	// maxAdded how many it may have so: about 0.5 MB.
-	addedRoutes = 700
-	maxAdded    = 2100
+	// routesPerGrowth is the number of routes added to the configuration at once,
+	// maxAddedRoutes their limit: a configuration of about 0.5 MB.
+	routesPerGrowth = 700
+	maxAddedRoutes  = 2100
 )
 
-// grow publishes a configuration with many routes more.
-func (r *rig) grow() {
+// growConfig publishes a configuration with routesPerGrowth more routes, up to
+// maxAddedRoutes.
+func (r *rig) growConfig() {
 	r.mu.Lock()
-	r.added = min(maxAdded, r.added+addedRoutes)
+	r.addedRoutes = min(maxAddedRoutes, r.addedRoutes+routesPerGrowth)
 	r.mu.Unlock()
 	r.publish()
 }
 
-// evacuate empties a failure domain for a time; alone, if no other is empty.
-func (r *rig) evacuate(domain string, d time.Duration, alone bool) {
+// evacuate evacuates a failure domain for drainLimit and d. It does nothing if the
+// domain is already evacuated or, with onlyOne set, if another one is.
+func (r *rig) evacuate(domain string, d time.Duration, onlyOne bool) {
 	r.mu.Lock()
-	_, already := r.emptied[domain]
-	if already || alone && len(r.emptied) > 0 {
+	_, already := r.evacuated[domain]
+	if already || onlyOne && len(r.evacuated) > 0 {
 		r.mu.Unlock()
 		return
 	}
-	r.emptied[domain] = time.Now()
+	r.evacuated[domain] = time.Now()
 	r.mu.Unlock()
 	r.store.Put(platform.PrefixEvacuations+domain, nil)
-	wait(leaveBound + d)
+	wait(drainLimit + d)
 	r.mu.Lock()
-	// Before it is taken back: what arrives from then on is allowed.
-	delete(r.emptied, domain)
+	// Requests may arrive as soon as the evacuation is withdrawn, so the record
+	// goes first.
+	delete(r.evacuated, domain)
 	r.mu.Unlock()
 	r.store.Remove(platform.PrefixEvacuations + domain)
 }
 
-// arrived checks a request or call at an endpoint.
-func (r *rig) arrived(what string, e *endpoint) {
+// checkArrival checks that a request or call that reached e was not sent after the
+// evacuation of its failure domain.
+func (r *rig) checkArrival(what string, e *endpoint) {
 	r.mu.Lock()
-	emptied := r.emptied[e.domain]
+	evacuatedAt := r.evacuated[e.domain]
 	r.mu.Unlock()
-	r.book.late(what, e.service+" at "+e.addr, emptied)
+	r.recorder.checkEvacuated(what, e.service+" at "+e.addr, evacuatedAt)
 }
--- a/soak/foreign_test.go
+++ b/soak/foreign_test.go
@@ -9,14 +9,14 @@
 	"github.com/mangostage/mangostage/platform/standin"
 )
 
-// foreign are the entries of other writers that a run may meet.
-var foreign = standin.ForeignEntries()
+// foreignEntries are registry entries that other writers may leave in the store.
+var foreignEntries = standin.ForeignEntries()
 
-// trap lists an address in an entry that names no endpoint: its state is
-// unknown. Whatever is sent there is a broken promise.
-func (r *rig) trap() {
+// listUnusableEntry lists an address in an entry of unknown state, which names no
+// endpoint. Each request that is sent there is a violation.
+func (r *rig) listUnusableEntry() {
 	addr := r.serve(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		r.book.breaks("%s was sent to an entry that names no endpoint", req.RequestURI)
+		r.recorder.addViolation("%s was sent to an entry that names no endpoint", req.RequestURI)
 		w.WriteHeader(http.StatusInternalServerError)
 	}))
 	for _, service := range []string{"plain", "model", "stage"} {
@@ -25,27 +25,28 @@
 	}
 }
 
-// spoil lets another writer overwrite the entry of an endpoint that lives; after
-// d its heartbeat writes it again. An endpoint that leaves is left alone.
-func (r *rig) spoil(e *endpoint, f standin.Foreign, d time.Duration) {
-	id := e.write(func() { r.store.PutRaw(platform.PrefixEndpoints+e.id, f.Raw) })
+// overwriteEntry lets another writer overwrite the entry of a running endpoint;
+// after d the endpoint's heartbeat restores it. A draining endpoint is left alone.
+func (r *rig) overwriteEntry(e *endpoint, f standin.Foreign, d time.Duration) {
+	id := e.updateEntry(func() { r.store.PutRaw(platform.PrefixEndpoints+e.id, f.Raw) })
 	if id == "" {
 		return
 	}
-	r.book.fault(d)
+	r.recorder.recordFault(d)
 	wait(d)
-	e.write(func() {
+	e.updateEntry(func() {
 		if e.id == id {
 			r.listLocked(e, "ready")
 		}
 	})
 }
 
-// write changes the entry unless the endpoint is leaving, and returns its ID.
-func (e *endpoint) write(change func()) string {
+// updateEntry calls change unless the endpoint is draining, and returns the
+// endpoint's ID, or "" if it is draining.
+func (e *endpoint) updateEntry(change func()) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.leftAt.IsZero() {
+	if !e.drainedAt.IsZero() {
 		return ""
 	}
 	change()
--- a/soak/rig_test.go
+++ b/soak/rig_test.go
@@ -1,8 +1,8 @@
-// Package soak runs real gateways as processes against stand-ins and injects
-// faults from outside: proxies that cut, silence, delay and reset connections,
-// signals that freeze, kill and stop processes, and changes of the
+// Package soak runs real gateway processes against fake endpoints and a fake store
+// and injects faults from outside: proxies that cut, silence, delay and reset
+// connections, signals that freeze, kill and stop processes, and changes of the
 // configuration and the list of endpoints. Clients and endpoints check the
-// product's promises while it runs.
+// product's guarantees meanwhile.
 //
 //	go test ./soak -race                                  a few seeds, as in CI
 //	go test ./soak -args -soak.seeds 50 -soak.first 100   fifty seeds from 100 on
@@ -33,81 +33,82 @@
 )
 
 const (
-	// events is the length of a stream, eventTime what an engine takes for one.
-	events    = 6
-	eventTime = 5 * time.Millisecond
-	// longTime is the same on the route "long", whose answers take most of their
-	// deadline: they are still under way when a planned stop ends.
-	longTime = 620 * time.Millisecond
-	// patience bounds each wait.
-	patience = 20 * time.Second
-	key      = "k1"
-	// domains is the number of failure domains of the endpoints.
-	domains = 2
+	// streamEvents is the number of events of a stream, eventInterval the time
+	// that an engine takes for one.
+	streamEvents  = 6
+	eventInterval = 5 * time.Millisecond
+	// longEventInterval is eventInterval on the route "long", whose answers take
+	// most of their deadline: they are still in flight when a planned stop ends.
+	longEventInterval = 620 * time.Millisecond
+	// waitTimeout bounds each wait for a process.
+	waitTimeout = 20 * time.Second
+	apiKey      = "k1"
+	// failureDomains is the number of failure domains of the endpoints.
+	failureDomains = 2
 )
 
-// endpoint is one server; it may be started anew, also under its ID.
+// endpoint is one server at a fixed address. Its process may be restarted, under a
+// new ID or the same one.
 type endpoint struct {
 	service string
 	domain  string
 	link    *harness.Link
 	addr    string
 
-	mu      sync.Mutex
-	id      string
-	reject  bool
-	leftAt  time.Time
-	started int
-	// born is the start of the present process in Unix milliseconds.
-	born int64
+	mu          sync.Mutex
+	id          string
+	reject      bool // the endpoint refuses all requests
+	drainedAt   time.Time
+	incarnation int
+	// startedAtMS is the start of the current process in Unix milliseconds.
+	startedAtMS int64
 	// down is set from a crash until the next process starts.
 	down bool
 }
 
-// gateway is one process.
+// gateway is one gateway process and the proxies on its connections.
 type gateway struct {
 	*harness.Process
 	name, frontend, ready string
 	toStore               *harness.Link
-	// toPeer is the way of the other gateways to this one.
+	// toPeer is the proxy between the other gateways and this one.
 	toPeer *harness.Link
 
 	mu sync.Mutex
 	// version is the highest configuration seen in force in this incarnation.
 	version int
-	// inRotation is what the balancer believes.
+	// inRotation means that the load balancer sends clients here.
 	inRotation bool
-	// life numbers the incarnations.
-	life int
-	// down is set from a kill until the restart.
-	down bool
+	// incarnation counts the starts of the process.
+	incarnation int
+	// busy means that a fault or planned work has acquired the gateway.
+	busy bool
 }
 
-// rig is a deployment.
+// rig is a deployment under test: a store, endpoints and gateways.
 type rig struct {
 	t         *testing.T
 	rng       *rand.Rand
 	store     *standin.Store
 	endpoints []*endpoint
 	gateways  []*gateway
-	book      *book
+	recorder  *recorder
 
 	mu      sync.Mutex
 	version int
-	// added is the number of routes that serve nobody and make the
-	// configuration large.
-	added int
-	// emptied holds the evacuated failure domains, and since when.
-	emptied map[string]time.Time
+	// addedRoutes is the number of unused routes that make the configuration large.
+	addedRoutes int
+	// evacuated maps each evacuated failure domain to the time of its evacuation.
+	evacuated map[string]time.Time
 }
 
 func newRig(t *testing.T, seed uint64) *rig {
-	r := &rig{t: t, rng: rand.New(rand.NewPCG(seed, seed)), store: standin.NewStore(), book: newBook(), emptied: make(map[string]time.Time)}
+	r := &rig{t: t, rng: rand.New(rand.NewPCG(seed, seed)), store: standin.NewStore(), recorder: newRecorder(), evacuated: make(map[string]time.Time)}
 	r.publish()
 	for _, service := range []string{"plain", "plain", "plain", "model", "model", "model", "stage", "stage"} {
 		r.addEndpoint(service)
 	}
-	r.trap()
+	r.listUnusableEntry()
 	storeAddr := r.serve(r.store)
 	var seeds []string
 	var links []*harness.Link
@@ -135,7 +136,8 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// publish writes the next configuration. Each version has a route of its own.
+// publish writes the next version of the configuration. Each version adds a route
+// with its number, by which clients recognise it.
 func (r *rig) publish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,14 +157,14 @@
 	for v := 1; v <= r.version; v++ {
 		routes = append(routes, route("v"+strconv.Itoa(v), "idempotent", "plain", ""))
 	}
-	for n := range r.added {
+	for n := range r.addedRoutes {
 		routes = append(routes, route(fmt.Sprintf("added-%08x", n*0x9e3779b1), "idempotent", "plain", ""))
 	}
 	r.store.Put(platform.KeyConfig, fmt.Appendf(nil, `{"version":%d,"routes":[%s],"services":[
 		{"name":"plain"},{"name":"model","engine":{"slots":16,"kv_capacity":100000}},
 		{"name":"stage","segments":{"slots":1,"queue":2,"batch":8,"call_ms":20,"item_ms":2,"headroom_mb":1,"handle_ttl_s":3}}],
 		"limits":{"max_body_bytes":65536},"tenants":[{"name":"acme","api_keys":[%q]}]}`,
-		r.version, strings.Join(routes, ","), key))
+		r.version, strings.Join(routes, ","), apiKey))
 }
 
 func (r *rig) currentVersion() int {
@@ -172,26 +174,27 @@
 }
 
 func (r *rig) addEndpoint(service string) {
-	e := &endpoint{service: service, domain: fmt.Sprintf("z%d", len(r.endpoints)%domains)}
+	e := &endpoint{service: service, domain: fmt.Sprintf("z%d", len(r.endpoints)%failureDomains)}
 	e.link, e.addr = harness.NewLink(r.t, fmt.Sprintf("%s-%d", service, len(r.endpoints)), r.serve(r.handler(e)))
 	r.endpoints = append(r.endpoints, e)
 	r.register(e)
 }
 
-// register starts a process under a new ID and lists it.
+// register starts a process of e under a new ID and lists it as ready.
 func (r *rig) register(e *endpoint) {
 	e.mu.Lock()
 	e.start()
-	e.id = fmt.Sprintf("i-%s-%s-%d", e.service, e.addr[strings.LastIndex(e.addr, ":")+1:], e.started)
-	e.leftAt = time.Time{}
+	e.id = fmt.Sprintf("i-%s-%s-%d", e.service, e.addr[strings.LastIndex(e.addr, ":")+1:], e.incarnation)
+	e.drainedAt = time.Time{}
 	e.mu.Unlock()
 	r.list(e, "ready")
 }
 
-// start begins a process that holds nothing of the one before.
+// start begins a new process that has lost the state of the previous one. e.mu
+// must be held.
 func (e *endpoint) start() {
-	e.started++
-	e.born = max(e.born+1, time.Now().UnixMilli())
+	e.incarnation++
+	e.startedAtMS = max(e.startedAtMS+1, time.Now().UnixMilli())
 	e.down = false
 }
 
@@ -203,17 +206,18 @@
 
 func (r *rig) listLocked(e *endpoint, state string) {
 	r.store.List(e.id, standin.Entry{
-		Service: e.service, Addr: e.addr, Domain: e.domain, Slots: 8, State: state, Born: e.born,
+		Service: e.service, Addr: e.addr, Domain: e.domain, Slots: 8, State: state, Born: e.startedAtMS,
 	})
 }
 
-// gone tells whether one of the handles is of a process that has ended.
-func (r *rig) gone(handles []string) bool {
+// anyInputLost reports whether a handle belongs to an endpoint process that has
+// ended.
+func (r *rig) anyInputLost(handles []string) bool {
 	for _, h := range handles {
 		addr, name, _ := strings.Cut(h, "/")
 		for _, e := range r.endpoints {
 			e.mu.Lock()
-			ended := e.addr == addr && !strings.HasSuffix(name, "."+strconv.Itoa(e.started))
+			ended := e.addr == addr && !strings.HasSuffix(name, "."+strconv.Itoa(e.incarnation))
 			e.mu.Unlock()
 			if ended {
 				return true
@@ -223,27 +227,27 @@
 	return false
 }
 
-// handler is the endpoint's server, for whatever incarnation it is.
+// handler returns the HTTP handler of all incarnations of e.
 func (r *rig) handler(e *endpoint) http.Handler {
 	if e.service == "stage" {
 		return r.stageHandler(e)
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		e.mu.Lock()
-		id, reject, leftAt, down := e.id, e.reject, e.leftAt, e.down
+		id, reject, drainedAt, down := e.id, e.reject, e.drainedAt, e.down
 		e.mu.Unlock()
 		if down {
 			standin.Break()
 		}
-		if inputs := req.Header.Get("Mangostage-Inputs"); inputs != "" && r.gone(strings.Split(inputs, ",")) {
+		if inputs := req.Header.Get("Mangostage-Inputs"); inputs != "" && r.anyInputLost(strings.Split(inputs, ",")) {
 			w.Header().Set("Mangostage-Attempt-Id", req.Header.Get("Mangostage-Attempt-Id"))
 			w.Header().Set("Mangostage-Not-Executed", "1")
 			w.WriteHeader(http.StatusConflict)
 			return
 		}
 		inner := &standin.Endpoint{ID: id, Answer: func(w http.ResponseWriter, run standin.Run) {
-			r.book.ran(run, id, leftAt)
-			r.arrived(run.ID, e)
+			r.recorder.recordRun(run, id, drainedAt)
+			r.checkArrival(run.ID, e)
 			answer(w, run, e.service)
 		}}
 		inner.Reject(reject)
@@ -251,7 +255,8 @@
 	})
 }
 
-// answer writes what the run's client expects.
+// answer writes the answer that the client of the run expects; a resumed stream
+// continues after its Last-Event-Id.
 func answer(w http.ResponseWriter, run standin.Run, service string) {
 	standin.Seal(w)
 	if service == "plain" {
@@ -262,13 +267,13 @@
 	if text := run.Header.Get("Last-Event-Id"); text != "" {
 		last, _ = strconv.Atoi(text)
 	}
-	pace := eventTime
+	pace := eventInterval
 	if strings.HasPrefix(run.Target, "/long/") {
-		pace = longTime
+		pace = longEventInterval
 	}
 	flusher := http.NewResponseController(w)
-	for i := last + 1; i <= events; i++ {
-		_, _ = io.WriteString(w, event(run.ID, i))
+	for i := last + 1; i <= streamEvents; i++ {
+		_, _ = io.WriteString(w, formatEvent(run.ID, i))
 		if flusher.Flush() != nil {
 			return
 		}
@@ -278,14 +283,16 @@
 
 func plainBody(id, body string) string { return "answer to " + id + ": " + body }
 
-func event(id string, i int) string { return fmt.Sprintf("id: %d\ndata: %s piece %d\n\n", i, id, i) }
+func formatEvent(id string, i int) string {
+	return fmt.Sprintf("id: %d\ndata: %s piece %d\n\n", i, id, i)
+}
 
-// stageHandler makes pieces whose handles name their request, and checks that
-// the inputs of a piece are the request's own.
+// stageHandler returns the HTTP handler of a stage endpoint. It returns handles
+// that name their request, and checks that each segment has its own request's inputs.
 func (r *rig) stageHandler(e *endpoint) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		e.mu.Lock()
-		id, addr, life, down := e.id, e.addr, e.started, e.down
+		id, addr, incarnation, down := e.id, e.addr, e.incarnation, e.down
 		e.mu.Unlock()
 		if down {
 			standin.Break()
@@ -301,30 +308,30 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		r.arrived("a call for pieces", e)
+		r.checkArrival("a call for segments", e)
 		entries := make([]map[string]string, len(message.Entries))
 		for i, p := range message.Entries {
-			r.book.piece(p)
-			if r.gone(p.Inputs) {
+			r.recorder.checkPiece(p)
+			if r.anyInputLost(p.Inputs) {
 				entries[i] = map[string]string{"reason": "gone"}
 				continue
 			}
-			entries[i] = map[string]string{"handle": fmt.Sprintf("%s/%s.%d.%d.%d", addr, p.ID, p.Phase, p.Segment, life)}
+			entries[i] = map[string]string{"handle": fmt.Sprintf("%s/%s.%d.%d.%d", addr, p.ID, p.Phase, p.Segment, incarnation)}
 		}
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(map[string]any{"entries": entries})
 	})
 }
 
-// maxSeeds is how many addresses of others a process is told at its start.
-const maxSeeds = 3
+// maxSeedPeers is the largest number of peer addresses given to a process at its start.
+const maxSeedPeers = 3
 
 func (r *rig) addGateway(i int, listen string, peers []string, storeAddr string) {
-	g := &gateway{name: fmt.Sprintf("g%d", i), frontend: harness.FreePort(r.t), ready: harness.FreePort(r.t), life: 1}
+	g := &gateway{name: fmt.Sprintf("g%d", i), frontend: harness.FreePort(r.t), ready: harness.FreePort(r.t), incarnation: 1}
 	var toStore string
 	g.toStore, toStore = harness.NewLink(r.t, "store-"+g.name, storeAddr)
 	text := standin.NodeFile(platform.Settings{
-		Name: g.name, Domain: "z0", IP: "127.0.0.1", Cores: 1, Seeds: peers[:min(maxSeeds, len(peers))],
+		Name: g.name, Domain: "z0", IP: "127.0.0.1", Cores: 1, Seeds: peers[:min(maxSeedPeers, len(peers))],
 		Frontend: g.frontend, Ready: g.ready, Peer: listen, Store: toStore,
 		Bounds: platform.Bounds{
 			Drain: 2 * time.Second, Grace: 8 * time.Second, ConfigApply: 2 * time.Second,
@@ -342,7 +349,7 @@
 func (r *rig) awaitReady() {
 	r.t.Helper()
 	for _, g := range r.gateways {
-		harness.Wait(r.t, patience, func() error {
+		harness.Wait(r.t, waitTimeout, func() error {
 			if !g.probe() {
 				return fmt.Errorf("%s is not ready", g.name)
 			}
@@ -351,14 +358,15 @@
 	}
 }
 
-var probes = &http.Client{
+var probeClient = &http.Client{
 	Timeout:   500 * time.Millisecond,
 	Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: 300 * time.Millisecond}).DialContext},
 }
 
-// probe asks as the balancer does.
+// probe checks readiness as the load balancer does and returns the result. A
+// request that fails leaves inRotation as it was.
 func (g *gateway) probe() bool {
-	resp, err := probes.Get("http://" + g.ready + "/readyz")
+	resp, err := probeClient.Get("http://" + g.ready + "/readyz")
 	if err != nil {
 		return false
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,59 +17,60 @@
 var (
 	seeds = flag.Int("soak.seeds", 3, "number of seeds to run")
 	first = flag.Uint64("soak.first", 1, "first seed")
-	// length is that of the series of faults of one seed.
-	length = flag.Duration("soak.length", 6*time.Second, "how long faults are injected")
-	// gateways is the number of processes; some runs by hand have a hundred.
-	gateways = flag.Int("soak.gateways", 3, "number of gateway processes")
-	clean    = flag.Bool("soak.clean", false, "inject planned work only: stops, reloads, changes")
+	// faultDuration is how long faults are injected for each seed.
+	faultDuration = flag.Duration("soak.length", 6*time.Second, "how long faults are injected")
+	// gateways is the number of gateway processes; manual runs use up to a hundred.
+	gateways    = flag.Int("soak.gateways", 3, "number of gateway processes")
+	plannedOnly = flag.Bool("soak.clean", false, "inject planned work only: stops, reloads, changes")
 )
 
 const (
 	clients = 24
-	// quiet is how long the rig runs on after the last fault, so that late
-	// copies of requests arrive and processes catch up.
-	quiet = 2 * time.Second
+	// quietPeriod is how long the rig runs after the last fault, so that late
+	// copies of requests arrive and processes recover.
+	quietPeriod = 2 * time.Second
 )
 
-// kept are seeds that have failed before, with what was the cause.
-var kept = []uint64{}
+// regressionSeeds are seeds that failed before, each noted with its cause; they run first.
+var regressionSeeds = []uint64{}
 
 func TestSeeds(t *testing.T) {
-	run := append([]uint64(nil), kept...)
+	run := append([]uint64(nil), regressionSeeds...)
 	for i := range *seeds {
 		run = append(run, *first+uint64(i))
 	}
 	for _, seed := range run {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soakOne(t, seed, *clean) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, *plannedOnly) })
 	}
 }
 
-// Planned work alone, in overlapping series: stops one after the other,
-// reloads, configurations, endpoints that leave. A user must not notice: each
-// request has a whole answer. In the second series clients that stay with a
-// stopping gateway have long streams that it may not take any more.
+// TestPlannedWork guards against requests that are lost to planned work alone:
+// overlapping stops, reloads, configuration changes, evacuations and draining
+// endpoints. Each request must get a complete answer. With the second seed,
+// persistent clients send long streams to a stopping gateway, which must not accept
+// them any more.
 func TestPlannedWork(t *testing.T) {
 	for _, seed := range []uint64{7, 700} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soakOne(t, seed, true) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed, true) })
 	}
 }
 
-func soakOne(t *testing.T, seed uint64, planned bool) {
+func runSeed(t *testing.T, seed uint64, planned bool) {
 	r := newRig(t, seed)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for n := range clients {
-		running.Go(func() { r.client(ctx, n, seed) })
+		running.Go(func() { r.runClient(ctx, n, seed) })
 	}
-	running.Go(func() { r.balance(ctx) })
+	running.Go(func() { r.probeGateways(ctx) })
 	r.inject(planned)
-	timer := time.NewTimer(quiet)
+	timer := time.NewTimer(quietPeriod)
 	defer timer.Stop()
 	<-timer.C
 	cancel()
 	running.Wait()
-	broken := r.book.settle()
-	r.report(seed, len(broken))
+	broken := r.recorder.finalViolations()
+	r.logSummary(seed, len(broken))
 	for _, b := range broken {
 		t.Error(b)
 	}
@@ -80,27 +81,29 @@
 	}
 }
 
-// report prints what was served, so that a run that served nothing shows.
-func (r *rig) report(seed uint64, broken int) {
-	r.book.mu.Lock()
-	defer r.book.mu.Unlock()
+// logSummary logs the counts of answers, and fails the test if no request was
+// answered with 200.
+func (r *rig) logSummary(seed uint64, broken int) {
+	r.recorder.mu.Lock()
+	defer r.recorder.mu.Unlock()
 	var lines []string
-	good := 0
-	for k, n := range r.book.served {
+	answered := 0
+	for k, n := range r.recorder.answerCounts {
 		lines = append(lines, fmt.Sprintf("%s: %d", k, n))
 		if k[len(k)-3:] == "200" {
-			good += n
+			answered += n
 		}
 	}
 	sort.Strings(lines)
-	r.t.Logf("seed %d: %d answered with 200, %d broken promises, %d endpoints back under their IDs; %v", seed, good, broken, r.book.restarts, lines)
-	if good == 0 {
+	r.t.Logf("seed %d: %d answered with 200, %d broken promises, %d endpoints back under their IDs; %v", seed, answered, broken, r.recorder.restarts, lines)
+	if answered == 0 {
 		r.t.Error("nothing was served")
 	}
 }
 
-// balance probes all gateways as the users' balancer does.
-func (r *rig) balance(ctx context.Context) {
+// probeGateways probes all gateways until ctx ends, as a load balancer does, and
+// takes those that are not ready out of rotation.
+func (r *rig) probeGateways(ctx context.Context) {
 	ticker := time.NewTicker(300 * time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -119,39 +122,41 @@
 	}
 }
 
-// inject injects faults in overlapping series.
+// inject starts overlapping faults for faultDuration and waits for their end.
+// With planned set it starts planned work only.
 func (r *rig) inject(planned bool) {
-	end := time.Now().Add(*length)
+	end := time.Now().Add(*faultDuration)
 	var running sync.WaitGroup
 	for time.Now().Before(end) {
-		fault := r.pick(planned)
+		fault := r.pickFault(planned)
 		running.Go(fault)
 		wait(time.Duration(50+r.rng.IntN(400)) * time.Millisecond)
 	}
 	running.Wait()
 }
 
-// wait lets the time of a fault pass.
+// wait sleeps for d.
 func wait(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	<-timer.C
 }
 
-// pick draws one fault. All random numbers are drawn here, in one goroutine,
-// so that a seed gives the same series.
-func (r *rig) pick(planned bool) func() {
+// pickFault draws one fault, or planned work only if planned is set. All random
+// numbers of the fault series are drawn in one goroutine, so that a seed
+// reproduces it.
+func (r *rig) pickFault(planned bool) func() {
 	g := r.gateways[r.rng.IntN(len(r.gateways))]
 	e := r.endpoints[r.rng.IntN(len(r.endpoints))]
 	d := time.Duration(200+r.rng.IntN(1500)) * time.Millisecond
-	f := foreign[r.rng.IntN(len(foreign))]
+	f := foreignEntries[r.rng.IntN(len(foreignEntries))]
 	work := []func(){
 		r.publish,
-		func() { r.hup(g) },
-		func() { r.term(g) },
-		func() { r.leave(e) },
+		func() { r.reload(g) },
+		func() { r.restartGracefully(g) },
+		func() { r.drainAndReplace(e) },
 		r.store.Compact,
-		r.grow,
+		r.growConfig,
 		func() { r.evacuate(e.domain, d, planned) },
 	}
 	if planned {
@@ -160,37 +165,37 @@
 	faults := append(work,
 		func() { r.freeze(g, d) },
 		func() { r.kill(g) },
-		func() { r.onLink(e.link, d, (*harness.Link).Cut) },
-		func() { r.onLink(e.link, d, func(l *harness.Link) { l.Drop() }) },
-		func() { r.onLink(e.link, d, func(l *harness.Link) { l.Drop(harness.Downstream) }) },
-		func() { r.onLink(e.link, d, func(l *harness.Link) { l.Delay(150 * time.Millisecond) }) },
-		func() { r.onLink(e.link, d, (*harness.Link).Reset) },
-		func() { r.onLink(e.link, d, func(l *harness.Link) { l.LimitData(300, harness.Downstream) }) },
-		func() { r.onLink(g.toStore, d, (*harness.Link).Cut) },
-		func() { r.onLink(g.toStore, d, func(l *harness.Link) { l.Drop() }) },
+		func() { r.faultLink(e.link, d, (*harness.Link).Cut) },
+		func() { r.faultLink(e.link, d, func(l *harness.Link) { l.Drop() }) },
+		func() { r.faultLink(e.link, d, func(l *harness.Link) { l.Drop(harness.Downstream) }) },
+		func() { r.faultLink(e.link, d, func(l *harness.Link) { l.Delay(150 * time.Millisecond) }) },
+		func() { r.faultLink(e.link, d, (*harness.Link).Reset) },
+		func() { r.faultLink(e.link, d, func(l *harness.Link) { l.LimitData(300, harness.Downstream) }) },
+		func() { r.faultLink(g.toStore, d, (*harness.Link).Cut) },
+		func() { r.faultLink(g.toStore, d, func(l *harness.Link) { l.Drop() }) },
 		func() { r.refuse(e, d) },
-		func() { r.spoil(e, f, d) },
+		func() { r.overwriteEntry(e, f, d) },
 		func() { r.crash(e, d, (*harness.Link).Cut, false) },
 		func() { r.crash(e, d, func(l *harness.Link) { l.Drop() }, false) },
 		func() { r.crash(e, d, (*harness.Link).Cut, true) },
-		func() { r.onLink(g.toPeer, d, (*harness.Link).Cut) },
-		func() { r.onLink(g.toPeer, d, func(l *harness.Link) { l.Drop() }) },
-		func() { r.onLink(g.toPeer, d, func(l *harness.Link) { l.Drop(harness.Upstream) }) },
-		func() { r.onLink(g.toPeer, d, func(l *harness.Link) { l.Delay(300 * time.Millisecond) }) },
-		func() { r.onLink(g.toPeer, d, (*harness.Link).Reset) },
+		func() { r.faultLink(g.toPeer, d, (*harness.Link).Cut) },
+		func() { r.faultLink(g.toPeer, d, func(l *harness.Link) { l.Drop() }) },
+		func() { r.faultLink(g.toPeer, d, func(l *harness.Link) { l.Drop(harness.Upstream) }) },
+		func() { r.faultLink(g.toPeer, d, func(l *harness.Link) { l.Delay(300 * time.Millisecond) }) },
+		func() { r.faultLink(g.toPeer, d, (*harness.Link).Reset) },
 	)
 	return faults[r.rng.IntN(len(faults))]
 }
 
-// onLink harms a link for a time.
-func (r *rig) onLink(l *harness.Link, d time.Duration, harm func(*harness.Link)) {
-	r.book.fault(d)
-	harm(l)
+// faultLink applies a fault to a link, and heals the link after d.
+func (r *rig) faultLink(l *harness.Link, d time.Duration, inject func(*harness.Link)) {
+	r.recorder.recordFault(d)
+	inject(l)
 	wait(d)
 	l.Heal()
 }
 
-// refuse makes an endpoint refuse requests for a time.
+// refuse makes an endpoint refuse all requests for d.
 func (r *rig) refuse(e *endpoint, d time.Duration) {
 	set := func(on bool) {
 		e.mu.Lock()
@@ -202,22 +207,22 @@
 	set(false)
 }
 
-// crash ends the process of an endpoint, as its callers see by harm to its link,
-// and starts the next under the same ID: within its lease, or after its entry
-// has lapsed.
-func (r *rig) crash(e *endpoint, d time.Duration, harm func(*harness.Link), lapses bool) {
+// crash ends the process of an endpoint, with a fault on its link that its callers
+// see, and starts the next one after d under the same ID: within its lease or, with
+// expire set, after its entry has expired.
+func (r *rig) crash(e *endpoint, d time.Duration, inject func(*harness.Link), expire bool) {
 	e.mu.Lock()
-	if !e.leftAt.IsZero() || e.down {
+	if !e.drainedAt.IsZero() || e.down {
 		e.mu.Unlock()
 		return
 	}
 	e.down = true
 	id := e.id
 	e.mu.Unlock()
-	r.book.fault(d)
-	harm(e.link)
+	r.recorder.recordFault(d)
+	inject(e.link)
 	wait(d / 2)
-	if lapses {
+	if expire {
 		r.store.Remove(platform.PrefixEndpoints + id)
 	}
 	wait(d / 2)
@@ -226,87 +231,90 @@
 	e.mu.Unlock()
 	e.link.Heal()
 	r.list(e, "ready")
-	r.book.restarted()
+	r.recorder.recordRestart()
 }
 
-// take marks a gateway as busy with a fault; false if it is already.
-func (g *gateway) take() bool {
+// acquire reserves a gateway for one fault; it returns false if another has it.
+func (g *gateway) acquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.down {
+	if g.busy {
 		return false
 	}
-	g.down = true
+	g.busy = true
 	return true
 }
 
-// back ends take; restarted begins another incarnation.
-func (g *gateway) back(restarted bool) {
+// release ends the reservation by acquire. restarted means that the process was
+// started again, as a new incarnation.
+func (g *gateway) release(restarted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.down = false
+	g.busy = false
 	if restarted {
-		g.life++
+		g.incarnation++
 		g.version = 0
 	}
 }
 
 func (r *rig) freeze(g *gateway, d time.Duration) {
-	if !g.take() {
+	if !g.acquire() {
 		return
 	}
-	r.book.fault(d)
+	r.recorder.recordFault(d)
 	g.Stop()
 	wait(d)
 	g.Cont()
-	g.back(false)
+	g.release(false)
 }
 
 func (r *rig) kill(g *gateway) {
-	if !g.take() {
+	if !g.acquire() {
 		return
 	}
-	r.book.fault(time.Second)
+	r.recorder.recordFault(time.Second)
 	g.Kill()
 	g.Restart()
-	g.back(true)
+	g.release(true)
 }
 
-func (r *rig) hup(g *gateway) {
-	if !g.take() {
+func (r *rig) reload(g *gateway) {
+	if !g.acquire() {
 		return
 	}
 	g.Signal(syscall.SIGHUP)
-	g.back(false)
+	g.release(false)
 }
 
-// term stops a gateway as planned and starts it again. It is out of rotation
-// before it takes no more connections, so its clients lose nothing.
-func (r *rig) term(g *gateway) {
-	if !g.take() {
+// restartGracefully stops a gateway with SIGTERM and starts it again. The gateway
+// goes out of rotation before it stops accepting connections, so that its clients
+// lose no request.
+func (r *rig) restartGracefully(g *gateway) {
+	if !g.acquire() {
 		return
 	}
 	g.Term()
-	if code := g.WaitExit(patience); code != 0 {
-		r.book.breaks("%s ended with code %d", g.name, code)
+	if code := g.WaitExit(waitTimeout); code != 0 {
+		r.recorder.addViolation("%s exited with code %d", g.name, code)
 	}
 	g.Restart()
-	g.back(true)
+	g.release(true)
 }
 
-// leave takes an endpoint away as planned: it says so, serves on for a while,
-// is removed, and starts again as another incarnation at the same address.
-func (r *rig) leave(e *endpoint) {
+// drainAndReplace stops an endpoint as planned: it is listed as draining, serves on
+// for drainLimit and one second, is removed, and starts again under a new ID at the
+// same address.
+func (r *rig) drainAndReplace(e *endpoint) {
 	e.mu.Lock()
-	if !e.leftAt.IsZero() || e.down {
+	if !e.drainedAt.IsZero() || e.down {
 		e.mu.Unlock()
 		return
 	}
-	e.leftAt = time.Now()
+	e.drainedAt = time.Now()
 	id := e.id
 	e.mu.Unlock()
 	r.list(e, "draining")
-	wait(leaveBound + time.Second)
+	wait(drainLimit + time.Second)
 	r.store.Remove("servers/" + id)
 	r.register(e)
 }
