--- a/integration/answers_test.go
+++ b/integration/answers_test.go
@@ -19,41 +19,43 @@
 const (
 	notesPipeline = "fitting-notes"
 	enginesPool   = "fitting-engines"
-	// ofEachFault is how many requests of each pipeline meet a fault.
-	ofEachFault = 24
-	// spoiled is how many replies of each endpoint are spoiled.
-	spoiled = 4
-	// brieflyKept is how long keys are remembered where each is used at once.
-	brieflyKept = 6 * time.Second
-	// lateReply is how long a delayed reply is held back.
-	lateReply = 150 * time.Millisecond
-	// answerTimeout leaves time for a second attempt after a late reply.
+	// requestsPerFault is how many requests of each kind are sent during a fault.
+	requestsPerFault = 24
+	// corruptReplies is how many replies each endpoint corrupts.
+	corruptReplies = 4
+	// shortKeyRetention is the key retention of tests that use each key at once.
+	shortKeyRetention = 6 * time.Second
+	// replyDelay is how much a delayed reply is late.
+	replyDelay = 150 * time.Millisecond
+	// answerTimeout leaves time for a second attempt after a delayed reply.
 	answerTimeout = 2 * time.Second
 )
 
-// Kinds of complaints about answers.
+// Kinds of failures of answers.
 const (
-	halfAnswer = "a stream that does not fit its answer"
-	silentEnd  = "a stream that ended in good order without an outcome"
+	inconsistentStream   = "a stream that differs from its answer"
+	streamWithoutOutcome = "a stream that ended cleanly without an outcome"
 )
 
-// asked is one request for an answer and what came back.
-type asked struct {
+// exchange is one request and its reply.
+type exchange struct {
 	call  harness.Call
 	reply *harness.Reply
 }
 
-// answers is a fleet and what was asked of it.
-type answers struct {
-	complaints
-	t     *testing.T
-	fleet *harness.Fleet
-	all   []*asked
-	// probes counts the requests that only waited for an answer.
+// answerTest is a fleet and all requests that were sent to it.
+type answerTest struct {
+	failures
+	t         *testing.T
+	fleet     *harness.Fleet
+	exchanges []*exchange
+	// probes counts the requests of awaitServing, which are not verified.
 	probes int
 }
 
-func answerFleet(t *testing.T) *answers {
+// answerFleet starts a fleet with two endpoints in each pool and a proxy before
+// each endpoint.
+func answerFleet(t *testing.T) *answerTest {
 	t.Helper()
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{
@@ -62,20 +64,20 @@
 		ProxyEndpoints: true,
 		Plain:          true,
 	})
-	return &answers{t: t, fleet: fleet}
+	return &answerTest{t: t, fleet: fleet}
 }
 
-// ask sends requests of every kind at once, each with an input of its own, and
-// returns how many were answered.
-func (a *answers) ask(name string) int {
-	var round []*asked
-	for i := range ofEachFault {
+// sendRound sends requests of every kind at the same time, each with its own
+// input, and returns how many were answered.
+func (a *answerTest) sendRound(name string) int {
+	var round []*exchange
+	for i := range requestsPerFault {
 		marker := fmt.Sprintf("%s-%d", name, i)
 		round = append(round,
-			&asked{call: harness.Call{Pipeline: cataloguePool, Input: harness.Marker("catalogue-" + marker)}},
-			&asked{call: harness.Call{Pipeline: ordersPipeline, Input: harness.Order("order-" + marker), Key: harness.NewKey()}},
-			&asked{call: harness.Call{Pipeline: notesPipeline, Input: harness.Marker("notes-" + marker)}},
-			&asked{call: harness.Call{Pipeline: notesPipeline, Input: harness.Marker("stream-" + marker), Stream: true}},
+			&exchange{call: harness.Call{Pipeline: cataloguePool, Input: harness.Marker("catalogue-" + marker)}},
+			&exchange{call: harness.Call{Pipeline: ordersPipeline, Input: harness.Order("order-" + marker), Key: harness.NewKey()}},
+			&exchange{call: harness.Call{Pipeline: notesPipeline, Input: harness.Marker("notes-" + marker)}},
+			&exchange{call: harness.Call{Pipeline: notesPipeline, Input: harness.Marker("stream-" + marker), Stream: true}},
 		)
 	}
 	var wg sync.WaitGroup
@@ -84,7 +86,7 @@
 		wg.Go(func() { r.reply = a.fleet.Send(a.t.Context(), i%len(a.fleet.Entries()), r.call) })
 	}
 	wg.Wait()
-	a.all = append(a.all, round...)
+	a.exchanges = append(a.exchanges, round...)
 	answered := 0
 	for _, r := range round {
 		if r.reply.Outcome() == api.OutcomeAnswered {
@@ -95,12 +97,12 @@
 	return answered
 }
 
-// awaitServing waits until every entry answers every kind of request.
-func (a *answers) awaitServing() {
+// awaitServing waits until every entry answers requests of every pipeline.
+func (a *answerTest) awaitServing() {
 	a.t.Helper()
 	for i := range a.fleet.Entries() {
 		for _, pipeline := range []string{cataloguePool, ordersPipeline, notesPipeline} {
-			harness.Wait(a.t, patience, func() error {
+			harness.Wait(a.t, recoveryTimeout, func() error {
 				marker := fmt.Sprintf("probe-%s-%d-%d", pipeline, i, a.probes)
 				a.probes++
 				r := a.fleet.Send(a.t.Context(), i, harness.Call{Pipeline: pipeline, Input: harness.Marker(marker), Timeout: answerTimeout})
@@ -113,18 +115,18 @@
 	}
 }
 
-// verify finds each answer whole and its own, and each stream in keeping with
-// how it ended.
-func (a *answers) verify() {
+// verify checks that each answer is complete and belongs to its request, and that
+// each stream agrees with its final event.
+func (a *answerTest) verify() {
 	runs := a.fleet.StageRuns()
-	for _, r := range a.all {
+	for _, r := range a.exchanges {
 		want := harness.Expect(a.fleet.Bundle, r.call.Pipeline, r.call.Input)
 		reply := r.reply
 		if reply.Answer != nil && string(reply.Answer.Output) != string(want) {
-			a.add(foreignAnswer, "%s: %s, want %s", r.call.Input, reply.Answer.Output, want)
+			a.add(mismatchedAnswer, "%s: %s, want %s", r.call.Input, reply.Answer.Output, want)
 		}
 		if reply.Err == nil && reply.Outcome() == "" {
-			a.add(silentEnd, "%s: status %d, %s", r.call.Input, reply.Status, reply.Body)
+			a.add(streamWithoutOutcome, "%s: status %d, %s", r.call.Input, reply.Status, reply.Body)
 		}
 		if r.call.Stream {
 			a.verifyStream(r, want)
@@ -135,9 +137,9 @@
 	}
 }
 
-// verifyStream finds the pieces of a stream to be a beginning of the right
-// text, and all of it if the stream ended with an answer.
-func (a *answers) verifyStream(r *asked, want json.RawMessage) {
+// verifyStream checks that the tokens of a stream are a prefix of the expected text,
+// and the whole text if the stream ended with an answer.
+func (a *answerTest) verifyStream(r *exchange, want json.RawMessage) {
 	var expected fake.Output
 	assert.NilError(a.t, json.Unmarshal(want, &expected))
 	text := ""
@@ -152,21 +154,22 @@
 		}
 		assert.NilError(a.t, json.Unmarshal(e.Data, &piece))
 		if piece.Seq != pieces {
-			a.add(halfAnswer, "%s: piece %d in place of %d", r.call.Input, piece.Seq, pieces)
+			a.add(inconsistentStream, "%s: token %d in place of %d", r.call.Input, piece.Seq, pieces)
 		}
 		pieces++
 		text += piece.Text
 	}
 	switch {
 	case !strings.HasPrefix(expected.Text, text):
-		a.add(halfAnswer, "%s: %q is no beginning of %q", r.call.Input, text, expected.Text)
+		a.add(inconsistentStream, "%s: %q is not a prefix of %q", r.call.Input, text, expected.Text)
 	case r.reply.Answer != nil && pieces > 0 && text != expected.Text:
-		a.add(halfAnswer, "%s: answered after %d pieces, %q, want %q", r.call.Input, pieces, text, expected.Text)
+		a.add(inconsistentStream, "%s: answered after %d tokens, %q, want %q", r.call.Input, pieces, text, expected.Text)
 	}
 }
 
-// verifyRuns finds an order run as often as its caller was told.
-func (a *answers) verifyRuns(r *asked, runs map[string]int) {
+// verifyRuns checks that an order ran at most once, once if it was answered, and
+// never if it was refused.
+func (a *answerTest) verifyRuns(r *exchange, runs map[string]int) {
 	var input struct {
 		Order string `json:"order"`
 	}
@@ -182,26 +185,27 @@
 	}
 }
 
-// TestSpoiledRepliesAreNobodysAnswer: endpoints answer late, twice, in part, in
-// the wrong order or with the answer to another call. A caller that is told
-// "answered" must hold the whole answer to its own request, in one piece and in
-// its stream; whatever cannot be made whole again is reported as what it is.
-func TestSpoiledRepliesAreNobodysAnswer(t *testing.T) {
-	spoilt := []fake.ReplyFault{
+// TestCorruptRepliesAreNotAnswers guards against corrupt replies that are passed on
+// as answers: endpoints reply late, twice, in part, in the wrong order or with the
+// answer to another call. With the outcome "answered" a caller must have the complete
+// answer to its own request, as a document and as a stream; otherwise it must get
+// another outcome.
+func TestCorruptRepliesAreNotAnswers(t *testing.T) {
+	replyFaults := []fake.ReplyFault{
 		fake.ReplyNormal, fake.ReplyDelay, fake.ReplyDuplicate, fake.ReplyTruncate,
 		fake.ReplyForeign, fake.ReplyReorder, fake.ReplyGap, fake.ReplyUnclosed,
 	}
 	a := answerFleet(t)
 	defer a.report(t)
-	for _, fault := range spoilt {
+	for _, fault := range replyFaults {
 		t.Run("reply "+string(fault), func(t *testing.T) {
-			count, delay := spoiled, int(lateReply.Milliseconds())
+			count, delay := corruptReplies, int(replyDelay.Milliseconds())
 			for _, e := range a.fleet.Endpoints() {
 				e.Apply(fake.Control{Reply: &fault, ReplyCount: &count, DelayMS: &delay})
 			}
-			answered := a.ask("reply-" + string(fault))
+			answered := a.sendRound("reply-" + string(fault))
 			if fault == fake.ReplyNormal {
-				assert.Equal(t, answered, len(a.all))
+				assert.Equal(t, answered, len(a.exchanges))
 			}
 			normal := fake.ReplyNormal
 			for _, e := range a.fleet.Endpoints() {
@@ -213,10 +217,10 @@
 	a.verify()
 }
 
-// TestStreamCutInTheMiddle: the connection to an engine breaks while a fitting
-// note is being written, at another place each time. The rest is fetched from
-// where it broke, or another engine repeats the note from the beginning, or the
-// caller is told that it was cut short; half a note is never passed off as whole.
+// TestStreamCutInTheMiddle guards against partial streams that are reported as
+// complete. The connection to an engine breaks during a stream, after a different
+// number of bytes in each round. The stream is resumed where it broke, or another
+// engine repeats it from the start, or the caller gets the outcome "cut short".
 func TestStreamCutInTheMiddle(t *testing.T) {
 	a := answerFleet(t)
 	defer a.report(t)
@@ -224,11 +228,11 @@
 		for _, e := range a.fleet.PoolEndpoints(enginesPool) {
 			a.fleet.EndpointLink(e.Name).LimitData(bytes, harness.Downstream)
 		}
-		a.ask(fmt.Sprintf("cut-%d", bytes))
+		a.sendRound(fmt.Sprintf("cut-%d", bytes))
 		for _, e := range a.fleet.PoolEndpoints(enginesPool) {
 			a.fleet.EndpointLink(e.Name).Heal()
 		}
-		a.fleet.WaitReady(patience)
+		a.fleet.WaitReady(recoveryTimeout)
 	}
 	resumed := 0
 	for _, e := range a.fleet.PoolEndpoints(enginesPool) {
@@ -239,18 +243,18 @@
 	a.verify()
 }
 
-// TestKeyReusedWithAnotherBody: a till's clerk numbers two different orders
-// alike and sends both, at the same time or one after the other, through both
-// entries. One is made; the other is refused for its key, or told that nothing is
-// known, and never gets the answer to the first.
+// TestKeyReusedWithAnotherBody guards against answering a request with the result of
+// another one that has the same key. Two different orders with one key or request ID
+// are sent through both entries, at the same time or one after the other. One runs;
+// the other is refused for its key or gets the outcome "unknown".
 func TestKeyReusedWithAnotherBody(t *testing.T) {
-	b := &book{t: t, fleet: orderFleet(t, func(c *harness.Config) { c.Edit = remember(brieflyKept, skew) })}
+	b := &orderChecker{t: t, fleet: orderFleet(t, func(c *harness.Config) { c.Edit = withKeyRetention(shortKeyRetention, skew) })}
 	defer b.report(t)
-	b.awaitOpaque()
+	b.awaitOpaqueKeys()
 	conflicts := 0
-	for i := range 4 * ofEach {
-		first, second := b.open(recognisable[i%len(recognisable)]), b.open(minted)
-		second.by, second.call.Key, second.call.HeldID = first.by, first.call.Key, first.call.HeldID
+	for i := range 4 * ordersPerKind {
+		first, second := b.newOrder(dedupIdentifications[i%len(dedupIdentifications)]), b.newOrder(minted)
+		second.identifiedBy, second.call.Key, second.call.HeldID = first.identifiedBy, first.call.Key, first.call.HeldID
 		var wg sync.WaitGroup
 		wg.Go(func() { b.send(t.Context(), first, 0, orderTimeout) })
 		if i%2 == 0 {
@@ -260,18 +264,18 @@
 		wg.Wait()
 		runs := b.runs()
 		if n := runs[first.marker] + runs[second.marker]; n != 1 {
-			b.add(ranTwice, "%s and %s (%s) ran %d times: %s %s", first.marker, second.marker, first.by, n, first.history(), second.history())
+			b.add(ranTwice, "%s and %s (%s) ran %d times: %s %s", first.marker, second.marker, first.identifiedBy, n, first.history(), second.history())
 		}
 		for _, o := range []*order{first, second} {
-			if o.sendings[0].reply.Reason() == api.ReasonKeyConflict {
+			if o.submissions[0].reply.Reason() == api.ReasonKeyConflict {
 				conflicts++
 			}
 		}
 	}
-	b.settle()
+	b.awaitIdle()
 	t.Logf("reasons %v", b.reasons())
 	for _, o := range b.orders {
 		b.verifyOrder(o, b.runs()[o.marker], make(map[api.Outcome]int))
 	}
-	assert.Assert(t, conflicts >= 2*ofEach, "%d conflicts", conflicts)
+	assert.Assert(t, conflicts >= 2*ordersPerKind, "%d conflicts", conflicts)
 }
--- a/integration/api_test.go
+++ b/integration/api_test.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	replyWait = 30 * time.Second
+	replyTimeout = 30 * time.Second
 
-	// Pipelines and accounts of the Brunnhofer example.
+	// Pipelines and client accounts of the Brunnhofer example.
 	catalogue  = "catalogue"
 	orders     = "workshop-orders"
 	billing    = "billing"
@@ -30,13 +30,16 @@
 	otherChain = "partner-chain-bodensee"
 	rheintal   = "partner-shops-rheintal"
 
-	// entryLimit and catalogueLimit bound bodies, by flag and by bundle.
+	// entryLimit and catalogueLimit are the largest bodies in bytes: of an entry,
+	// by its flag, and of a pipeline, by the bundle.
 	entryLimit     = 8 << 10
 	catalogueLimit = 1 << 10
-	// secret stands in another account's request and must never show.
+	// secret is part of a request of another client account, and must appear in no
+	// reply to others.
 	secret = "prescription-of-somebody-else"
 )
 
+// smallFleet starts two entries and a few endpoints, with small body limits.
 func smallFleet(t *testing.T) *harness.Fleet {
 	return harness.Start(t, harness.Config{
 		Pools:      map[string]int{catalogue: 1, orders: 2, billing: 1},
@@ -45,27 +48,28 @@
 	})
 }
 
-// mistake is a call that the entry must turn away.
-type mistake struct {
+// invalidCall is a call that the entry must reject with status and reason.
+type invalidCall struct {
 	name   string
 	call   harness.Call
 	status int
 	reason api.Reason
 }
 
-// outcome is "refused" but for an expired ID: this sending is not run, and of
-// an earlier one with the same ID nobody remembers whether it was.
-func (m *mistake) outcome() api.Outcome {
+// outcome returns "refused", or "unknown" for an expired ID: this submission does
+// not run, but whether an earlier one with the same ID ran is no longer known.
+func (m *invalidCall) outcome() api.Outcome {
 	if m.reason == api.ReasonIDExpired {
 		return api.OutcomeUnknown
 	}
 	return api.OutcomeRefused
 }
 
-// A caller that makes a mistake learns which, by a problem document with an
-// ID that it can quote, and can rely on nothing having been run. Nothing of
-// another account shows, also to a caller that has got hold of its request ID.
-func TestMistakesAreRefusedBeforeAnyWork(t *testing.T) {
+// TestInvalidCallsAreRefusedBeforeAnyWork guards against invalid calls that run or
+// reveal something. Each gets a problem document with its reason and a request ID,
+// and no stage runs. Nothing of another client account shows, even to a caller that
+// has one of its request IDs.
+func TestInvalidCallsAreRefusedBeforeAnyWork(t *testing.T) {
 	fleet := smallFleet(t)
 	ctx := t.Context()
 	answered := fleet.Send(ctx, 0, harness.Call{Pipeline: orders, Account: otherChain, Input: harness.Order(secret)})
@@ -75,11 +79,11 @@
 	ordersID, _ := fleet.HoldID(ctx, 1, chain, orders)
 	starts := fleet.TotalStarts()
 
-	mistakes := bodyMistakes()
-	mistakes = append(mistakes, callerMistakes()...)
-	mistakes = append(mistakes, headerMistakes()...)
-	mistakes = append(mistakes, identityMistakes(fleet, othersID, ordersID, answered.RequestID())...)
-	for i, m := range mistakes {
+	calls := invalidBodyCalls()
+	calls = append(calls, invalidCallerCalls()...)
+	calls = append(calls, invalidHeaderCalls()...)
+	calls = append(calls, invalidIdentityCalls(fleet, othersID, ordersID, answered.RequestID())...)
+	for i, m := range calls {
 		t.Run(m.name, func(t *testing.T) {
 			call := m.call
 			if call.Account == "" {
@@ -94,13 +98,13 @@
 	assert.Equal(t, fleet.TotalStarts(), starts)
 }
 
-func bodyMistakes() []mistake {
+func invalidBodyCalls() []invalidCall {
 	const bad, status = api.ReasonBadRequest, http.StatusBadRequest
 	body := func(text string) harness.Call { return harness.Call{Pipeline: catalogue, Body: []byte(text)} }
 	long := func(pipeline string, size int) harness.Call {
 		return harness.Call{Pipeline: pipeline, Body: []byte(`{"input":"` + strings.Repeat("x", size) + `"}`)}
 	}
-	return []mistake{
+	return []invalidCall{
 		{"half a document", body(`{"input":`), status, bad},
 		{"no JSON", body(`input=1`), status, bad},
 		{"an empty body", body(``), status, bad},
@@ -112,8 +116,8 @@
 	}
 }
 
-func callerMistakes() []mistake {
-	return []mistake{
+func invalidCallerCalls() []invalidCall {
+	return []invalidCall{
 		{"an unknown pipeline", harness.Call{Pipeline: "weaving"}, http.StatusNotFound, api.ReasonUnknownPipeline},
 		{"a pipeline of others", harness.Call{Pipeline: billing, Account: rheintal}, http.StatusNotFound, api.ReasonUnknownPipeline},
 		{"a wrong credential", harness.Call{Pipeline: catalogue, Credential: "dev-nobody"}, http.StatusUnauthorized, api.ReasonUnauthorized},
@@ -122,12 +126,12 @@
 	}
 }
 
-func headerMistakes() []mistake {
+func invalidHeaderCalls() []invalidCall {
 	const bad, status = api.ReasonBadRequest, http.StatusBadRequest
 	timeout := func(text string) harness.Call {
 		return harness.Call{Pipeline: catalogue, Header: http.Header{api.HeaderTimeout: {text}}}
 	}
-	return []mistake{
+	return []invalidCall{
 		{"a timeout in words", timeout("soon"), status, bad},
 		{"a timeout of nothing", timeout("0"), status, bad},
 		{"a negative timeout", timeout("-5"), status, bad},
@@ -138,7 +142,7 @@
 	}
 }
 
-func identityMistakes(fleet *harness.Fleet, othersID, ordersID, othersAnswered string) []mistake {
+func invalidIdentityCalls(fleet *harness.Fleet, othersID, ordersID, othersAnswered string) []invalidCall {
 	const bad, status = api.ReasonBadRequest, http.StatusBadRequest
 	held := func(id string) harness.Call { return harness.Call{Pipeline: orders, HeldID: id} }
 	issued := time.Now().Add(-time.Hour)
@@ -153,7 +157,7 @@
 	}
 	otherPipeline := harness.Call{Pipeline: catalogue, HeldID: ordersID}
 	twoNames := harness.Call{Pipeline: orders, HeldID: ordersID, Key: harness.NewKey()}
-	return []mistake{
+	return []invalidCall{
 		{"another account's held ID", held(othersID), http.StatusForbidden, api.ReasonForeignRequestID},
 		{"another account's request ID", held(othersAnswered), http.StatusForbidden, api.ReasonForeignRequestID},
 		{"a held ID for another pipeline", otherPipeline, http.StatusForbidden, api.ReasonForeignRequestID},
@@ -164,14 +168,14 @@
 	}
 }
 
-// checkRefusal finds a complete problem document that says "not run".
+// checkRefusal checks for a complete problem document with the outcome "refused".
 func checkRefusal(t *testing.T, reply *harness.Reply, status int, reason api.Reason) {
 	t.Helper()
 	checkProblem(t, reply, status, reason, api.OutcomeRefused)
 }
 
-// checkProblem finds a complete problem document that tells of no stage and of
-// no other account.
+// checkProblem checks for a complete problem document that names no stage and
+// reveals nothing of another client account.
 func checkProblem(t *testing.T, reply *harness.Reply, status int, reason api.Reason, outcome api.Outcome) {
 	t.Helper()
 	assert.NilError(t, reply.Err)
@@ -187,20 +191,21 @@
 	assert.Equal(t, p.RequestID, reply.RequestID())
 	assert.Equal(t, reply.Header.Get(api.HeaderOutcome), string(p.Outcome))
 	assert.Assert(t, len(p.Stages) == 0, "%s", reply.Body)
-	checkDiscreet(t, reply)
+	checkNoLeak(t, reply)
 }
 
-// checkDiscreet finds nothing of another account.
-func checkDiscreet(t *testing.T, reply *harness.Reply) {
+// checkNoLeak checks that a reply reveals nothing of another client account.
+func checkNoLeak(t *testing.T, reply *harness.Reply) {
 	t.Helper()
 	for _, text := range []string{secret, otherChain} {
 		assert.Assert(t, !strings.Contains(string(reply.Body), text), "%s", reply.Body)
 	}
 }
 
-// Whoever asks for a request of another account, or for an operator's view
-// without being one, learns as much as if there were none.
-func TestLookUpsShowNothingOfOthers(t *testing.T) {
+// TestLookupsRevealNothingOfOtherAccounts guards against lookups that reveal whether
+// a request of another client account exists, and against access to operators' pages
+// without an operator's credential.
+func TestLookupsRevealNothingOfOtherAccounts(t *testing.T) {
 	fleet := smallFleet(t)
 	ctx := t.Context()
 	answered := fleet.Send(ctx, 0, harness.Call{Pipeline: orders, Account: otherChain, Input: harness.Order(secret)})
@@ -243,8 +248,9 @@
 	assert.Equal(t, fleet.TotalStarts(), starts)
 }
 
-// A caller's document may repeat a key or order its keys as a program reads
-// them. What a stage gets is what the caller sent, byte for byte.
+// TestInputReachesStagesUnchanged guards against inputs that are decoded and encoded
+// again on their way: a JSON document may repeat a key, and its order of keys may
+// matter to its reader. Stages must get the caller's input byte for byte.
 func TestInputReachesStagesUnchanged(t *testing.T) {
 	fleet := smallFleet(t)
 	input := json.RawMessage(`{"z":1.50,"marker":"exact","a":{"y":"<é>","b":[]},"a":2}`)
@@ -253,7 +259,7 @@
 	assert.Equal(t, string(reply.Answer.Output), string(harness.Expect(fleet.Bundle, catalogue, input)))
 }
 
-// variables are those of /debug/vars that a caller's request moves.
+// variables are those values of /debug/vars that requests change.
 type variables struct {
 	Entry entryVariables `json:"entry"`
 }
@@ -264,8 +270,8 @@
 	InFlight int `json:"requests_in_flight"`
 }
 
-// The balancer and the operator's metrics read an entry that has no bundle yet
-// as well as one that serves.
+// TestHealthReadinessAndMetrics checks health, readiness and metrics of an entry
+// that has no bundle yet, and of one that serves.
 func TestHealthReadinessAndMetrics(t *testing.T) {
 	down, up := true, false
 	fleet := harness.Start(t, harness.Config{
@@ -276,14 +282,14 @@
 		},
 	})
 	ctx := t.Context()
-	harness.Wait(t, replyWait, func() error { return fleet.Get(ctx, 0, "/healthz", "").Err })
+	harness.Wait(t, replyTimeout, func() error { return fleet.Get(ctx, 0, "/healthz", "").Err })
 	assert.Equal(t, fleet.Get(ctx, 0, "/healthz", "").Status, http.StatusOK)
 	assert.Equal(t, fleet.Get(ctx, 0, "/readyz", "").Status, http.StatusServiceUnavailable)
 	reply := fleet.Send(ctx, 0, harness.Call{Pipeline: catalogue, Input: harness.Marker("early")})
 	checkRefusal(t, reply, http.StatusServiceUnavailable, api.ReasonNoBundle)
 
 	fleet.Platform.Config.Apply(fake.ConfigControl{Down: &up})
-	fleet.WaitReady(replyWait)
+	fleet.WaitReady(replyTimeout)
 	assert.Equal(t, fleet.Get(ctx, 0, "/readyz", "").Status, http.StatusOK)
 	reply = fleet.Send(ctx, 0, harness.Call{Pipeline: catalogue, Input: harness.Marker("served")})
 	assert.Equal(t, reply.Outcome(), api.OutcomeAnswered, "%s", reply.Body)
--- a/integration/atmostonce_test.go
+++ b/integration/atmostonce_test.go
@@ -17,48 +17,51 @@
 )
 
 const (
-	// ofEach is how many orders of each identification meet a fault.
-	ofEach = 8
-	// orderTime makes an order last long enough to be caught in the middle.
+	// ordersPerKind is how many orders of each identification are sent during a fault.
+	ordersPerKind = 8
+	// orderTime is the run time of an order, long enough for faults to happen during it.
 	orderTime = 15 * time.Millisecond
-	// briefly is how long a fault lasts at least.
-	briefly = 300 * time.Millisecond
-	// orderTimeout is the deadline of one sending.
+	// minFaultTime is the shortest duration of a fault in inject.
+	minFaultTime = 300 * time.Millisecond
+	// orderTimeout is the timeout of one submission.
 	orderTimeout = 1500 * time.Millisecond
-	// retention is short, so that opaque keys are taken soon after a start, and
-	// longer than any order here is sent again.
+	// retention is the key retention: short, so that opaque keys are accepted soon
+	// after a start, and longer than orders are submitted again here.
 	retention = 8 * time.Second
 	skew      = 200 * time.Millisecond
-	// sendings is how often a caller sends an order at most.
-	sendings = 4
-	// someBytes of a call or reply are less than its headers, bodyBytes reach
-	// into its body.
+	// maxSubmissions is how often a caller submits an order at most.
+	maxSubmissions = 4
+	// A call that is cut after someBytes ends in its headers, one that is cut after
+	// bodyBytes in its body.
 	someBytes = 20
 	bodyBytes = 330
-	// replyBytes reach into the body of a reply.
+	// A reply that is cut after replyBytes ends in its body.
 	replyBytes = 150
 )
 
 var seed = flag.Uint64("seed", 0, "seed of the randomised faults; 0 draws one")
 
-// recognisable lists all ways in which an order sent again can be recognised.
-var recognisable = []identification{held, timedKey, opaqueKey}
+// dedupIdentifications are the identifications by which repeated submissions of an
+// order are recognised.
+var dedupIdentifications = []identification{held, timedKey, opaqueKey}
 
-// fault is one thing that goes wrong while orders are on their way.
+// fault is one fault that is injected while orders are in flight.
 type fault struct {
 	name string
-	// strike makes it go wrong, mend ends it.
-	strike func(f *harness.Fleet)
-	mend   func(f *harness.Fleet)
-	// lasts is how long it goes on; zero means briefly.
-	lasts time.Duration
-	// early: it strikes before the orders are sent, and not in their middle.
-	early bool
-	// harmless: every order has to be answered.
-	harmless bool
+	// inject starts the fault, heal ends it.
+	inject func(f *harness.Fleet)
+	heal   func(f *harness.Fleet)
+	// duration is how long the fault lasts at least; zero leaves it to the test.
+	duration time.Duration
+	// beforeOrders means that the fault starts before the orders are sent, not while
+	// they run.
+	beforeOrders bool
+	// allAnswered means that every order must be answered despite the fault.
+	allAnswered bool
 }
 
-func agentsOf(f *harness.Fleet) []string {
+// orderAgents returns the names of the agents of the pool of orders.
+func orderAgents(f *harness.Fleet) []string {
 	var names []string
 	for _, e := range f.PoolEndpoints(ordersPool) {
 		names = append(names, e.Name)
@@ -66,67 +69,69 @@
 	return names
 }
 
-// part makes each entry reach only some agents, and not the other entry.
-func part(f *harness.Fleet) *harness.Link {
-	agents := agentsOf(f)
+// entryPartition returns the links between two sides: one entry with one agent, and
+// the other entry with two.
+func entryPartition(f *harness.Fleet) *harness.Link {
+	agents := orderAgents(f)
 	one := []string{"entry-1", agents[0]}
 	other := []string{"entry-2", agents[1], agents[2]}
 	return f.Between(one, other)
 }
 
-// endpointFault is a fault between all agents and their endpoints.
-func endpointFault(name string, strike func(*harness.Link)) fault {
+// endpointFault returns a fault on the links between all agents and their endpoints.
+func endpointFault(name string, inject func(*harness.Link)) fault {
 	return fault{
-		name:  name,
-		early: true,
-		strike: func(f *harness.Fleet) {
-			for _, agent := range agentsOf(f) {
-				strike(f.EndpointLink(agent))
+		name:         name,
+		beforeOrders: true,
+		inject: func(f *harness.Fleet) {
+			for _, agent := range orderAgents(f) {
+				inject(f.EndpointLink(agent))
 			}
 		},
-		mend: func(f *harness.Fleet) {
-			for _, agent := range agentsOf(f) {
+		heal: func(f *harness.Fleet) {
+			for _, agent := range orderAgents(f) {
 				f.EndpointLink(agent).Heal()
 			}
 		},
 	}
 }
 
+// platformFault returns a fault of the platform, despite which all orders must be
+// answered.
 func platformFault(name string, config fake.ConfigControl, vms fake.VMControl) fault {
 	off := false
 	return fault{
-		name:     name,
-		early:    true,
-		harmless: true,
-		strike: func(f *harness.Fleet) {
+		name:         name,
+		beforeOrders: true,
+		allAnswered:  true,
+		inject: func(f *harness.Fleet) {
 			f.Platform.Config.Apply(config)
 			f.Platform.VMs.Apply(vms)
 		},
-		mend: func(f *harness.Fleet) {
+		heal: func(f *harness.Fleet) {
 			f.Platform.Config.Apply(fake.ConfigControl{Down: &off, Stale: &off})
 			f.Platform.VMs.Apply(fake.VMControl{Down: &off, Stale: &off})
 		},
 	}
 }
 
-// faults lists what can go wrong with an order. Those that cost agents their
-// memory come last.
+// faults returns all faults. The one that makes an agent lose its state comes last.
 func faults() []fault {
 	on := true
 	healthy := func(*harness.Fleet) {}
 	return []fault{
-		{name: "none", strike: healthy, mend: healthy, early: true, harmless: true},
+		{name: "none", inject: healthy, heal: healthy, beforeOrders: true, allAnswered: true},
 		platformFault("platform down", fake.ConfigControl{Down: &on}, fake.VMControl{Down: &on}),
 		platformFault("platform stale", fake.ConfigControl{Stale: &on}, fake.VMControl{Stale: &on}),
 		{
 			name:   "cut between the entries' sides",
-			strike: func(f *harness.Fleet) { part(f).Cut() },
-			mend:   func(f *harness.Fleet) { part(f).Heal() },
+			inject: func(f *harness.Fleet) { entryPartition(f).Cut() },
+			heal:   func(f *harness.Fleet) { entryPartition(f).Heal() },
 		},
 		{
 			name:   "partition between the entries' sides",
-			strike: func(f *harness.Fleet) { part(f).Drop() },
-			mend:   func(f *harness.Fleet) { part(f).Heal() },
+			inject: func(f *harness.Fleet) { entryPartition(f).Drop() },
+			heal:   func(f *harness.Fleet) { entryPartition(f).Heal() },
 		},
 		endpointFault("endpoint cut off", func(l *harness.Link) { l.Cut() }),
 		endpointFault("cut in a call's headers", func(l *harness.Link) { l.LimitData(someBytes, harness.Upstream) }),
@@ -136,46 +141,45 @@
 		endpointFault("reset", func(l *harness.Link) { l.Reset() }),
 		endpointFault("replies lost", func(l *harness.Link) { l.Drop(harness.Downstream) }),
 		{
-			name:   "entry frozen",
-			strike: func(f *harness.Fleet) { f.Entry(0).Stop() },
-			mend:   func(f *harness.Fleet) { f.Entry(0).Cont() },
-			lasts:  longFreeze,
+			name:     "entry frozen",
+			inject:   func(f *harness.Fleet) { f.Entry(0).Stop() },
+			heal:     func(f *harness.Fleet) { f.Entry(0).Cont() },
+			duration: longFreeze,
 		},
 		{
-			name:   "agent frozen",
-			strike: func(f *harness.Fleet) { f.Agent(agentsOf(f)[0]).Stop() },
-			mend:   func(f *harness.Fleet) { f.Agent(agentsOf(f)[0]).Cont() },
-			lasts:  longFreeze,
+			name:     "agent frozen",
+			inject:   func(f *harness.Fleet) { f.Agent(orderAgents(f)[0]).Stop() },
+			heal:     func(f *harness.Fleet) { f.Agent(orderAgents(f)[0]).Cont() },
+			duration: longFreeze,
 		},
 		{
 			name:   "entry killed",
-			strike: func(f *harness.Fleet) { f.Entry(0).Kill() },
-			mend:   func(f *harness.Fleet) { f.Entry(0).Restart() },
+			inject: func(f *harness.Fleet) { f.Entry(0).Kill() },
+			heal:   func(f *harness.Fleet) { f.Entry(0).Restart() },
 		},
 		{
 			name:   "agent killed and started again",
-			strike: func(f *harness.Fleet) { f.Agent(agentsOf(f)[0]).Kill() },
-			mend:   func(f *harness.Fleet) { f.Agent(agentsOf(f)[0]).Restart() },
+			inject: func(f *harness.Fleet) { f.Agent(orderAgents(f)[0]).Kill() },
+			heal:   func(f *harness.Fleet) { f.Agent(orderAgents(f)[0]).Restart() },
 		},
 	}
 }
 
-// TestSameOrderThroughTwoEntries: a shop sends an order, gets no reply it can
-// use and sends it again through another entry, or its two lines send it at the
-// same time. Meanwhile one thing after another breaks. Whichever entry and agent
-// see which sending, the workshop must make the frame once at most, and exactly
-// once if anybody was told "answered".
+// TestSameOrderThroughTwoEntries guards against an order that runs twice. A caller
+// submits it through both entries, at the same time or again after it got no answer,
+// during each of the faults. Whichever entry and agent get which submission, the
+// order must run at most once, and exactly once if any submission was answered.
 func TestSameOrderThroughTwoEntries(t *testing.T) {
-	b := &book{t: t, fleet: orderFleet(t, func(c *harness.Config) {
-		c.Edit = remember(retention, skew)
+	b := &orderChecker{t: t, fleet: orderFleet(t, func(c *harness.Config) {
+		c.Edit = withKeyRetention(retention, skew)
 		c.Service = func(_ *bundle.Pool, s *fake.ServiceSettings) { s.Time = orderTime }
 	})}
 	defer b.report(t)
-	b.awaitOpaque()
+	b.awaitOpaqueKeys()
 	for _, f := range faults() {
 		t.Run(f.name, func(t *testing.T) {
-			orders := b.strike(f)
-			b.settle()
+			orders := b.inject(f)
+			b.awaitIdle()
 			answered := 0
 			for _, o := range orders {
 				if o.answered() {
@@ -183,7 +187,7 @@
 				}
 			}
 			t.Logf("%d of %d orders answered", answered, len(orders))
-			if f.harmless {
+			if f.allAnswered {
 				assert.Equal(t, answered, len(orders))
 			}
 		})
@@ -191,62 +195,62 @@
 	b.verify()
 }
 
-// awaitOpaque waits until the agents are old enough to run orders whose key
-// has no time.
-func (b *book) awaitOpaque() {
+// awaitOpaqueKeys waits until the agents have run long enough to accept orders whose
+// key contains no time.
+func (b *orderChecker) awaitOpaqueKeys() {
 	b.t.Helper()
-	harness.Wait(b.t, patience, func() error {
-		o := b.open(opaqueKey)
-		if s := b.send(b.t.Context(), o, 0, orderTimeout); !s.was(api.OutcomeAnswered) {
+	harness.Wait(b.t, recoveryTimeout, func() error {
+		o := b.newOrder(opaqueKey)
+		if s := b.send(b.t.Context(), o, 0, orderTimeout); !s.hasOutcome(api.OutcomeAnswered) {
 			return errorx.IllegalState.New("%s", o.history())
 		}
 		return nil
 	})
 }
 
-// strike sends orders through both entries at once, makes a fault in the
-// middle, mends it, and sends again what is not answered.
-func (b *book) strike(f fault) []*order {
+// inject submits orders through both entries at once, injects f before or while they
+// run, heals it, and submits again what is not answered.
+func (b *orderChecker) inject(f fault) []*order {
 	var orders []*order
-	for _, by := range recognisable {
-		for range ofEach {
-			if o := b.open(by); o != nil {
+	for _, by := range dedupIdentifications {
+		for range ordersPerKind {
+			if o := b.newOrder(by); o != nil {
 				orders = append(orders, o)
 			}
 		}
 	}
 	started := b.fleet.TotalStarts()
 	var wg sync.WaitGroup
-	if f.early {
-		f.strike(b.fleet)
+	if f.beforeOrders {
+		f.inject(b.fleet)
 	}
 	for i, o := range orders {
-		wg.Go(func() { b.insist(o, i) })
+		wg.Go(func() { b.submitToAll(o, i) })
 	}
-	if !f.early {
-		harness.Wait(b.t, patience, func() error {
+	if !f.beforeOrders {
+		harness.Wait(b.t, recoveryTimeout, func() error {
 			if b.fleet.TotalStarts() == started {
 				return errorx.IllegalState.New("no order has started")
 			}
 			return nil
 		})
-		f.strike(b.fleet)
+		f.inject(b.fleet)
 	}
-	<-time.After(max(f.lasts, briefly))
-	f.mend(b.fleet)
+	<-time.After(max(f.duration, minFaultTime))
+	f.heal(b.fleet)
 	wg.Wait()
-	b.fleet.WaitReady(patience)
+	b.fleet.WaitReady(recoveryTimeout)
 	for i, o := range orders {
-		wg.Go(func() { b.insist(o, i) })
+		wg.Go(func() { b.submitToAll(o, i) })
 	}
 	wg.Wait()
 	return orders
 }
 
-// insist sends an order through two entries at once, and once more through
-// each unless it was answered.
-func (b *book) insist(o *order, first int) {
-	if o.forgotten() {
+// submitToAll submits an order through all entries at once, and once more through
+// each in turn until it is answered.
+func (b *orderChecker) submitToAll(o *order, first int) {
+	if o.keyExpired() {
 		return
 	}
 	var wg sync.WaitGroup
@@ -255,22 +259,22 @@
 		wg.Go(func() { b.send(b.t.Context(), o, i, orderTimeout) })
 	}
 	wg.Wait()
-	for i := 0; i < entries && !o.answered() && !o.forgotten(); i++ {
+	for i := 0; i < entries && !o.answered() && !o.keyExpired(); i++ {
 		b.send(b.t.Context(), o, (first+i)%entries, orderTimeout)
 	}
 }
 
-// forgotten tells whether an order's key is too old to be sent again: what ran
-// under an opaque key is remembered for the retention and no longer.
-func (o *order) forgotten() bool {
-	return o.by == opaqueKey && time.Since(o.opened) > retention/2
+// keyExpired reports whether an order's key is too old to be submitted again: runs
+// under an opaque key are remembered only for the retention.
+func (o *order) keyExpired() bool {
+	return o.identifiedBy == opaqueKey && time.Since(o.createdAt) > retention/2
 }
 
-// TestManyOrdersUnderRandomFaults: a day of orders in a minute, with faults one
-// upon the other at random: frozen and killed entries and agents, partitions,
-// cut calls and replies, crashed endpoints, a platform that is down or stale.
-// Callers send again, some through two entries at once. The workshops' own
-// count of each order is what replies and accounts are held against.
+// TestManyOrdersUnderRandomFaults guards against replies and explanations that differ
+// from the endpoints' own counts of runs. A day's orders are sent in a minute under
+// random overlapping faults: frozen and killed entries and agents, partitions, cut
+// calls and replies, crashed endpoints, a platform that is down or stale. Callers
+// submit again, some through two entries at once.
 func TestManyOrdersUnderRandomFaults(t *testing.T) {
 	const (
 		total   = 2400
@@ -281,11 +285,11 @@
 		*seed = uint64(time.Now().UnixNano())
 	}
 	t.Logf("seed %d", *seed)
-	b := &book{t: t, fleet: orderFleet(t, func(c *harness.Config) {
+	b := &orderChecker{t: t, fleet: orderFleet(t, func(c *harness.Config) {
 		c.Entries = entries
 		c.LogLevel = "warn"
 		c.Edit = func(b *bundle.Bundle) {
-			remember(2*time.Minute, skew)(b)
+			withKeyRetention(2*time.Minute, skew)(b)
 			b.Policy.CrashLimit = total
 			b.Accounts[0].Limit = bundle.Limit{RequestsPerSecond: total, Burst: total, InFlight: total}
 		}
@@ -294,13 +298,13 @@
 	defer b.report(t)
 	stop := make(chan struct{})
 	var chaos sync.WaitGroup
-	chaos.Go(func() { b.chaos(rand.New(rand.NewPCG(*seed, 0)), stop) })
+	chaos.Go(func() { b.injectRandomFaults(rand.New(rand.NewPCG(*seed, 0)), stop) })
 	var wg sync.WaitGroup
 	for caller := range callers {
 		rng := rand.New(rand.NewPCG(*seed, uint64(caller)+1))
 		wg.Go(func() {
 			for range total / callers {
-				b.place(rng)
+				b.runCaller(rng)
 			}
 		})
 	}
@@ -313,16 +317,16 @@
 	assert.Assert(t, tally[api.OutcomeUnknown] > 0, "%v", tally)
 }
 
-// place is one caller with one order: it sends it until it is answered or the
-// caller gives up, sometimes through two entries at once.
-func (b *book) place(rng *rand.Rand) {
+// runCaller submits one order until it is answered or the caller gives up, sometimes
+// through two entries at once.
+func (b *orderChecker) runCaller(rng *rand.Rand) {
 	by := []identification{held, held, timedKey, timedKey, opaqueKey, minted}[rng.IntN(6)]
-	o := b.open(by)
+	o := b.newOrder(by)
 	if o == nil {
 		return
 	}
 	entries := len(b.fleet.Entries())
-	for range 1 + rng.IntN(sendings) {
+	for range 1 + rng.IntN(maxSubmissions) {
 		<-time.After(time.Duration(50+rng.IntN(300)) * time.Millisecond)
 		timeout := time.Duration(50+rng.IntN(800)) * time.Millisecond
 		first := rng.IntN(entries)
@@ -338,9 +342,10 @@
 	}
 }
 
-// chaos makes one random fault after the other until stop is closed. Each ends
-// before the next but for a killed agent, which is started at once.
-func (b *book) chaos(rng *rand.Rand, stop <-chan struct{}) {
+// injectRandomFaults injects one random fault after the other until stop is closed,
+// each sometimes with the crash of an endpoint. Each is healed before the next one
+// starts; a killed agent is only restarted by then.
+func (b *orderChecker) injectRandomFaults(rng *rand.Rand, stop <-chan struct{}) {
 	list := faults()[1:]
 	for n := 0; ; n++ {
 		select {
@@ -349,34 +354,37 @@
 			return
 		default:
 		}
-		// Two faults at a time: the second strikes while the first lasts.
-		b.lastsAWhile(list[rng.IntN(len(list))], rng, func() {
+		// Up to two faults at a time: the crash comes before the other fault is
+		// healed.
+		b.injectFault(list[rng.IntN(len(list))], rng, func() {
 			if rng.IntN(2) == 0 {
-				b.crash(rng)
+				b.crashEndpoint(rng)
 			}
 		})
 		<-time.After(time.Duration(rng.IntN(150)) * time.Millisecond)
 	}
 }
 
-func (b *book) lastsAWhile(f fault, rng *rand.Rand, more func()) {
-	f.strike(b.fleet)
-	<-time.After(max(f.lasts, time.Duration(20+rng.IntN(250))*time.Millisecond))
-	more()
-	f.mend(b.fleet)
+// injectFault injects f for a random time, at least its duration, calls meanwhile,
+// and heals f.
+func (b *orderChecker) injectFault(f fault, rng *rand.Rand, meanwhile func()) {
+	f.inject(b.fleet)
+	<-time.After(max(f.duration, time.Duration(20+rng.IntN(250))*time.Millisecond))
+	meanwhile()
+	f.heal(b.fleet)
 }
 
-// crash makes one endpoint drop everything for a moment.
-func (b *book) crash(rng *rand.Rand) {
+// crashEndpoint takes a random endpoint down for up to 100 ms, with all its calls.
+func (b *orderChecker) crashEndpoint(rng *rand.Rand) {
 	all := b.fleet.PoolEndpoints(ordersPool)
 	all[rng.IntN(len(all))].Apply(fake.Control{DownForMS: 1 + rng.IntN(100)})
 }
 
-// TestOrdersFlowWithoutPlatform: the configuration service and the list of VMs
-// go down in shop hours and stay down; an operator sees nothing but errors.
-// What entries and agents know by then is enough to take and make orders.
+// TestOrdersFlowWithoutPlatform guards against a dependency of requests on the
+// platform. The configuration service and the list of VMs go down and answer nothing
+// but errors. All orders must be answered from what entries and agents already know.
 func TestOrdersFlowWithoutPlatform(t *testing.T) {
-	b := &book{t: t, fleet: orderFleet(t, nil)}
+	b := &orderChecker{t: t, fleet: orderFleet(t, nil)}
 	defer b.report(t)
 	down := true
 	b.fleet.Platform.Config.Apply(fake.ConfigControl{Down: &down})
@@ -384,9 +392,9 @@
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
 		var orders []*order
 		for range 2 {
-			orders = append(orders, b.open(held), b.open(timedKey), b.open(minted))
+			orders = append(orders, b.newOrder(held), b.newOrder(timedKey), b.newOrder(minted))
 		}
-		b.sendEach(orders, constant(orderTimeout)).Wait()
+		b.sendEach(orders, constantTimeout(orderTimeout)).Wait()
 	}
 	up := false
 	b.fleet.Platform.Config.Apply(fake.ConfigControl{Down: &up})
@@ -395,12 +403,13 @@
 	assert.Equal(t, tally[api.OutcomeAnswered], len(b.orders))
 }
 
-// TestFreezeOfFifteenSeconds: an entry and an agent hang for 15 s with orders on
-// their way, longer than any deadline, and wake believing what they knew. In the
-// meantime callers have sent their orders again through the others.
+// TestFreezeOfFifteenSeconds guards against orders that run twice after a long freeze.
+// An entry and an agent are frozen for 15 s with orders in flight, longer than any
+// deadline, and wake with outdated state. Meanwhile callers have submitted their
+// orders again through the other entries.
 func TestFreezeOfFifteenSeconds(t *testing.T) {
 	const freeze = 15 * time.Second
-	b := &book{t: t, fleet: orderFleet(t, func(c *harness.Config) {
+	b := &orderChecker{t: t, fleet: orderFleet(t, func(c *harness.Config) {
 		c.Entries = 3
 		c.Service = func(_ *bundle.Pool, s *fake.ServiceSettings) { s.Time = orderTime }
 	})}
@@ -408,12 +417,12 @@
 	agent := b.fleet.Agent(ordersPool + "-1")
 	frozen := b.fleet.Entry(2)
 	var orders []*order
-	for range 2 * ofEach {
-		orders = append(orders, b.open(held), b.open(timedKey), b.open(opaqueKey), b.open(minted))
+	for range 2 * ordersPerKind {
+		orders = append(orders, b.newOrder(held), b.newOrder(timedKey), b.newOrder(opaqueKey), b.newOrder(minted))
 	}
 	started := b.fleet.TotalStarts()
-	first := b.sendEach(orders, constant(orderTimeout))
-	harness.Wait(t, patience, func() error {
+	first := b.sendEach(orders, constantTimeout(orderTimeout))
+	harness.Wait(t, recoveryTimeout, func() error {
 		if b.fleet.TotalStarts() == started {
 			return errorx.IllegalState.New("no order has started")
 		}
@@ -424,7 +433,7 @@
 	woken := time.After(freeze)
 	var again sync.WaitGroup
 	for i, o := range orders {
-		if o.by == minted {
+		if o.identifiedBy == minted {
 			continue
 		}
 		again.Go(func() { b.send(t.Context(), o, i%2, orderTimeout) })
@@ -434,9 +443,9 @@
 	agent.Cont()
 	frozen.Cont()
 	first.Wait()
-	b.fleet.WaitReady(patience)
+	b.fleet.WaitReady(recoveryTimeout)
 	for i, o := range orders {
-		if o.by == minted {
+		if o.identifiedBy == minted {
 			continue
 		}
 		again.Go(func() { b.send(t.Context(), o, i%3, orderTimeout) })
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -20,23 +20,24 @@
 
 const (
 	drainCallers = 24
-	// slowRun keeps requests in flight when the signal comes.
-	slowRun = 150 * time.Millisecond
-	// balancerCheck is how often the stand-in for the balancer looks.
-	balancerCheck = 50 * time.Millisecond
-	drainWait     = 1500 * time.Millisecond
-	// afterwards is how many requests are answered after the entry has gone.
-	afterwards = 100
+	// runDuration keeps requests in flight when the entry gets SIGTERM.
+	runDuration = 150 * time.Millisecond
+	// balancerInterval is how often the fake load balancer probes the entries.
+	balancerInterval = 50 * time.Millisecond
+	drainWait        = 1500 * time.Millisecond
+	// answersAfterStop is how many requests the other entry must answer after the
+	// first has exited.
+	answersAfterStop = 100
 )
 
-// balancer sends callers to the first entry that it last saw ready.
+// balancer sends callers to the first entry that was ready at the last probe.
 type balancer struct {
 	fleet *harness.Fleet
 	entry atomic.Int32
 }
 
 func (b *balancer) run(ctx context.Context) {
-	ticker := time.NewTicker(balancerCheck)
+	ticker := time.NewTicker(balancerInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		for i := range b.fleet.Entries() {
@@ -53,14 +54,15 @@
 	}
 }
 
-// An operator replaces an entry under load: it gets SIGTERM while requests are
-// in flight and the balancer, which looks only now and then, still sends it
-// more. No caller notices, and the process ends in good order.
-func TestTermOfAnEntryCutsNoRequest(t *testing.T) {
+// TestGracefulStopOfEntryLosesNoRequest guards against requests that are lost when
+// an entry is stopped under load: it gets SIGTERM while requests are in flight, and
+// the load balancer sends more until its next probe. All requests must be answered
+// and the process must exit with code 0.
+func TestGracefulStopOfEntryLosesNoRequest(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools:     map[string]int{catalogue: 3},
 		DrainWait: drainWait,
-		Service:   func(_ *bundle.Pool, s *fake.ServiceSettings) { s.Time = slowRun },
+		Service:   func(_ *bundle.Pool, s *fake.ServiceSettings) { s.Time = runDuration },
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	b := &balancer{fleet: fleet}
@@ -70,14 +72,14 @@
 	wg.Go(func() { b.run(ctx) })
 
 	var sent, answered [2]atomic.Int64
-	var lost complaints
+	var lost failures
 	for caller := range drainCallers {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				entry := int(b.entry.Load())
 				marker := fmt.Sprintf("%d-%d", caller, n)
 				sent[entry].Add(1)
-				// A request that was begun is seen to its end.
+				// A request in flight is not cancelled when the test ends.
 				reply := fleet.Send(context.WithoutCancel(ctx), entry, harness.Call{Pipeline: catalogue, Input: harness.Marker(marker)})
 				if reply.Outcome() != api.OutcomeAnswered {
 					lost.add("not answered", "%s through entry-%d: %v, status %d, %s", marker, entry+1, reply.Err, reply.Status, reply.Body)
@@ -95,10 +97,10 @@
 			return nil
 		}
 	}
-	harness.Wait(t, replyWait, atLeast(&answered[0], drainCallers))
+	harness.Wait(t, replyTimeout, atLeast(&answered[0], drainCallers))
 	fleet.Entry(0).Term()
-	code := fleet.Entry(0).WaitExit(replyWait)
-	harness.Wait(t, replyWait, atLeast(&answered[1], afterwards))
+	code := fleet.Entry(0).WaitExit(replyTimeout)
+	harness.Wait(t, replyTimeout, atLeast(&answered[1], answersAfterStop))
 	cancel()
 	wg.Wait()
 	assert.Equal(t, code, 0)
--- a/integration/gateway_owner_test.go
+++ b/integration/gateway_owner_test.go
@@ -17,7 +17,7 @@
 	"github.com/mangostage/mangostage/platform/standin"
 )
 
-// ownerConfig has one route whose requests need a stage of some seconds first.
+// ownerConfig has one route whose requests first need a stage of several seconds.
 const ownerConfig = `{"version":1,"routes":[
 {"name":"chat","host":"shop.example","prefix":"/chat/","route_kind":"streaming","timeout_ms":15000,"slo_ms":10000,"service":"llm","max_attempts":2,
  "stages":[{"service":"encode","byte_count":8000}]}],
@@ -25,7 +25,7 @@
 {"name":"encode","segments":{"slots":2,"queue":2,"batch":8,"call_ms":3000,"item_ms":2,"headroom_mb":1,"handle_ttl_s":20}}],
 "tenants":[{"name":"acme","api_keys":["k1"]}]}`
 
-// startMember starts a gateway process of a fleet.
+// startMember starts a gateway process that joins the fleet of the seeds.
 func startMember(t *testing.T, name, peerAddr, frontend, store string, seeds ...string) *harness.Process {
 	t.Helper()
 	return startGateway(t, platform.Settings{
@@ -33,11 +33,11 @@
 	})
 }
 
-// A chat waits for its stage, which a gateway other than its own has begun as
-// the owner of the queue. That one is stopped, has no requests of its own, and
-// ends while the stage runs: the stage is cut and begun again by the next owner,
-// the customer waits nearly twice as long, and results of jobs that go on
-// elsewhere stay at their endpoint since nobody is left to give them up.
+// TestStoppingOwnerEndsTheStagesOfOthers guards against a queue owner that exits while
+// it runs a stage for a request of another gateway. The owner is stopped and has no
+// requests of its own. If it does not wait, the stage is cut and started again by the
+// next owner, the client waits nearly twice as long, and results of jobs that continue
+// elsewhere stay at their endpoint because no process is left to release them.
 func TestStoppingOwnerEndsTheStagesOfOthers(t *testing.T) {
 	const stageTime = 4 * time.Second
 	stage := &standin.StageEndpoint{ID: "s-1", Addr: "s-1"}
@@ -62,9 +62,9 @@
 	storeAddr := listenHTTP(t, store)
 	ownerPeer, frontend := harness.FreePort(t), harness.FreePort(t)
 	owner := startMember(t, "g1", ownerPeer, harness.FreePort(t), storeAddr, ownerPeer)
-	testwait.For(t, patience, func() bool { return owner.LogHas(`"owner":"g1"`, `"self":true`) })
+	testwait.For(t, recoveryTimeout, func() bool { return owner.LogHas(`"owner":"g1"`, `"self":true`) })
 	other := startMember(t, "g2", harness.FreePort(t), frontend, storeAddr, ownerPeer)
-	testwait.For(t, patience, func() bool { return other.LogHas(`"owner":"g1"`, `"self":false`) })
+	testwait.For(t, recoveryTimeout, func() bool { return other.LogHas(`"owner":"g1"`, `"self":false`) })
 
 	var asking sync.WaitGroup
 	asking.Go(func() {
@@ -86,7 +86,7 @@
 	<-began
 	owner.Term()
 	asking.Wait()
-	assert.Equal(t, owner.WaitExit(patience), 0)
-	assert.Equal(t, len(began), 0, "the stage was begun again")
-	testwait.For(t, patience, func() bool { return stage.Kept() == 0 })
+	assert.Equal(t, owner.WaitExit(recoveryTimeout), 0)
+	assert.Equal(t, len(began), 0, "the stage was started again")
+	testwait.For(t, recoveryTimeout, func() bool { return stage.Kept() == 0 })
 }
--- a/integration/gateway_stop_test.go
+++ b/integration/gateway_stop_test.go
@@ -28,21 +28,22 @@
 "services":[{"name":"llm","engine":{"slots":16,"kv_capacity":100000}}],
 "tenants":[{"name":"acme","api_keys":["k1"]}]}`
 
-// plainBinary: with the race detector a process goes on for a second after its
-// end, and its streams with it.
+// plainBinary selects the binary without the race detector, with which a process and
+// its streams go on for a second after its end.
 const plainBinary = true
 
-// stopGrace is the time between SIGTERM and SIGKILL, the users' own.
+// stopGrace is the time between SIGTERM and SIGKILL, as users have set it.
 const stopGrace = 8 * time.Second
 
-// stopRig is a gateway process before one engine whose streams last as long as streamFor.
+// stopRig is a gateway process with one fake engine.
 type stopRig struct {
-	process  *harness.Process
+	gateway  *harness.Process
 	engine   *standin.Endpoint
 	frontend string
 	ready    string
 }
 
+// startStopRig starts a gateway with an engine whose streams last for streamFor.
 func startStopRig(t *testing.T, streamFor time.Duration) *stopRig {
 	t.Helper()
 	engine := &standin.Endpoint{ID: "m-1", Answer: func(w http.ResponseWriter, _ standin.Run) {
@@ -54,10 +55,10 @@
 	store.Put(platform.PrefixEndpoints+"m-1", fmt.Appendf(nil,
 		`{"service":"llm","address":%q,"zone":"z0","slots":16,"state":"ready"}`, listenHTTP(t, engine)))
 	r := &stopRig{engine: engine, frontend: harness.FreePort(t), ready: harness.FreePort(t)}
-	r.process = startGateway(t, platform.Settings{
+	r.gateway = startGateway(t, platform.Settings{
 		Name: "g1", Frontend: r.frontend, Ready: r.ready, Peer: harness.FreePort(t), Store: listenHTTP(t, store),
 	})
-	testwait.For(t, patience, r.isReady)
+	testwait.For(t, recoveryTimeout, r.isReady)
 	return r
 }
 
@@ -86,7 +87,7 @@
 	}
 }
 
-// isReady asks as the platform's balancer does.
+// isReady probes readiness as the platform's load balancer does.
 func (r *stopRig) isReady() bool {
 	resp, err := http.Get("http://" + r.ready + "/readyz")
 	if err != nil {
@@ -96,16 +97,16 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// ran tells whether the engine began to run the request.
+// ran reports whether the engine started to run the request.
 func (r *stopRig) ran(id string) bool {
 	return slices.ContainsFunc(r.engine.Runs(), func(run standin.Run) bool { return run.ID == id })
 }
 
-// client is one connection of a client that is kept open between requests.
+// client is a client with one connection, which stays open between requests.
 type client struct {
 	conn net.Conn
 	in   *bufio.Reader
-	// id is that of the latest request.
+	// id is the ID of the latest request, n the number of requests so far.
 	id string
 	n  int
 }
@@ -118,8 +119,9 @@
 	return &client{conn: conn, in: bufio.NewReader(conn)}
 }
 
-// ask sends one request and reads its answer; err is set if no whole answer came.
-func (c *client) ask(t *testing.T) (status int, body string, err error) {
+// send sends one request and reads its answer. It returns an error if the answer is
+// not complete, with status 0 if there was no response.
+func (c *client) send(t *testing.T) (status int, body string, err error) {
 	t.Helper()
 	c.n++
 	c.id = fmt.Sprintf("%s-%d", c.conn.LocalAddr(), c.n)
@@ -138,47 +140,48 @@
 	return resp.StatusCode, string(data), err
 }
 
-// A customer's chat, a stream that cannot be sent again, breaks off in the
-// middle although the gateway was stopped as planned. Its client had kept a
-// connection open from before SIGTERM and used it again 3 s later. The gateway
-// took the request without asking whether the stream can end within the grace,
-// waited for its stages, and was gone before its end. The users' record shows the SIGTERM, the
-// request 3.1 s after it and the cut at the end of the grace.
+// TestStopTakesNoStreamThatItCannotFinish guards against streams that break off in a
+// planned stop of the gateway and cannot be sent again. A client uses a connection
+// from before SIGTERM for a request 3.1 s after it. The gateway accepted the request
+// without checking that the stream can end within the grace period, and exited before
+// its end. Users recorded SIGTERM, the request 3.1 s later, and the cut at the end of
+// the grace period.
 func TestStopTakesNoStreamThatItCannotFinish(t *testing.T) {
 	const streamFor = 4800 * time.Millisecond
 	r := startStopRig(t, streamFor)
-	// One stream before, so that it is known how long they last.
+	// From this first stream the gateway learns how long streams last.
 	before := r.dial(t)
-	status, body, err := before.ask(t)
+	status, body, err := before.send(t)
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, strings.Count(body, "data:"), 10)
-	// A second client has a connection on which nothing was sent yet, as after
-	// a reconnect. It stays open until the gateway closes it.
+	// A second client has a connection without any request yet, as after a
+	// reconnect. It stays open until the gateway closes it.
 	fresh := r.dial(t)
 
 	began := time.Now()
-	r.process.Term()
-	testwait.For(t, patience, func() bool { return !r.isReady() })
+	r.gateway.Term()
+	testwait.For(t, recoveryTimeout, func() bool { return !r.isReady() })
 	<-time.After(time.Until(began.Add(3100 * time.Millisecond)))
 	var asking sync.WaitGroup
 	for _, c := range []*client{before, fresh} {
 		asking.Go(func() {
-			status, _, err := c.ask(t)
+			status, _, err := c.send(t)
 			at := time.Since(began).Round(time.Millisecond)
 			switch {
 			case r.ran(c.id):
-				assert.Check(t, err == nil, "a request that ran has no whole answer (status %d), %v after SIGTERM", status, at)
+				assert.Check(t, err == nil, "a request that ran has no complete answer (status %d), %v after SIGTERM", status, at)
 			case status == 0:
-				// Closed before it was read: the client sends it elsewhere.
+				// The connection was closed before the request was read; the client
+				// can send it elsewhere.
 			default:
 				assert.Check(t, status == http.StatusServiceUnavailable && err == nil, "status %d, %v", status, err)
 			}
 		})
 	}
 	asking.Wait()
-	assert.Equal(t, r.process.WaitExit(patience), 0)
-	assert.Assert(t, time.Since(began) < stopGrace, "the process must end within the grace")
+	assert.Equal(t, r.gateway.WaitExit(recoveryTimeout), 0)
+	assert.Assert(t, time.Since(began) < stopGrace, "the process must exit within the grace period")
 }
 
 // listenHTTP serves h on loopback.
@@ -186,7 +189,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := &http.Server{Handler: h, ReadHeaderTimeout: patience}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: recoveryTimeout}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
--- a/integration/gateway_wake_test.go
+++ b/integration/gateway_wake_test.go
@@ -21,27 +21,30 @@
 )
 
 const (
-	// wakeRoute is one route of a plain service, wakeConfig a configuration.
+	// wakeRoute is the format of a route to a plain service, wakeConfig of a
+	// configuration.
 	wakeRoute  = `{"name":%q,"host":"shop.example","prefix":"/%s/","route_kind":%q,"timeout_ms":15000,"slo_ms":1400,"service":"orders","max_attempts":2}`
 	wakeConfig = `{"version":%d,"routes":[%s],"services":[{"name":"orders"}],"tenants":[{"name":"acme","api_keys":["k1"]}]}`
-	// frozenFor is how long a gateway stands still: longer than a read of the
-	// store stands, shorter than kept connections to endpoints are kept.
-	frozenFor = 2500 * time.Millisecond
-	// standingRead is longer than a read of the store waits for a change.
-	standingRead = time.Second
-	// storeTime is what a slow store takes for an answer.
-	storeTime = 50 * time.Millisecond
-	// whileFrozen is how many requests wait in the socket buffers of a frozen gateway.
-	whileFrozen = 20
-	// wakeAnswer bounds the time from a wake to an answer; the endpoints take none.
-	wakeAnswer = 1500 * time.Millisecond
+	// freezeTime is how long a gateway is frozen: longer than a long poll of the
+	// store, shorter than idle connections to endpoints are kept.
+	freezeTime = 2500 * time.Millisecond
+	// longPollTime is longer than a long poll of the store waits for a change.
+	longPollTime = time.Second
+	// storeLatency is the time in which a slow store answers.
+	storeLatency = 50 * time.Millisecond
+	// requestsWhileFrozen is how many requests wait in the socket buffers of a
+	// frozen gateway.
+	requestsWhileFrozen = 20
+	// maxWakeLatency bounds the time from the end of a freeze to the last answer;
+	// the endpoints answer at once.
+	maxWakeLatency = 1500 * time.Millisecond
 )
 
-// wakeRig is a gateway process before plain endpoints.
+// wakeRig is a gateway process with plain fake endpoints.
 type wakeRig struct {
 	t        *testing.T
 	store    *standin.Store
-	process  *harness.Process
+	gateway  *harness.Process
 	frontend string
 	ready    string
 	version  int
@@ -56,10 +59,10 @@
 		e.serve(t)
 		r.list(e, "ready")
 	}
-	r.process = startGateway(t, platform.Settings{
+	r.gateway = startGateway(t, platform.Settings{
 		Name: "g1", Frontend: r.frontend, Ready: r.ready, Peer: harness.FreePort(t), Store: listenHTTP(t, r.store),
 	})
-	testwait.For(t, patience, (&stopRig{ready: r.ready}).isReady)
+	testwait.For(t, recoveryTimeout, (&stopRig{ready: r.ready}).isReady)
 	return r
 }
 
@@ -82,17 +85,18 @@
 		`{"service":"orders","address":%q,"zone":"z0","slots":16,"state":%q}`, e.addr, state))
 }
 
-// slowStore has the store take its time, as one a few hundred kilometres away.
+// slowStore delays the answers of the store by storeLatency, as if it were a few
+// hundred kilometres away.
 func (r *wakeRig) slowStore() {
 	r.store.Before(func(string) bool {
-		after(time.Now(), storeTime)
+		waitUntil(time.Now(), storeLatency)
 		return true
 	})
 }
 
-// ask sends one request over a connection of its own.
-func (r *wakeRig) ask(route string) (status int, err error) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+// send sends one request over a new connection.
+func (r *wakeRig) send(route string) (status int, err error) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: recoveryTimeout}
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.frontend+"/"+route+"/", strings.NewReader("x"))
 	assert.NilError(r.t, err)
 	req.Host = "shop.example"
@@ -108,13 +112,14 @@
 	return resp.StatusCode, err
 }
 
-// askMany sends requests at the same time and counts the answers by status.
-func (r *wakeRig) askMany(route string) map[int]int {
-	statuses := make(chan int, whileFrozen)
+// sendMany sends requestsWhileFrozen requests at the same time and counts the answers
+// by status, -1 for errors.
+func (r *wakeRig) sendMany(route string) map[int]int {
+	statuses := make(chan int, requestsWhileFrozen)
 	var wg sync.WaitGroup
-	for range whileFrozen {
+	for range requestsWhileFrozen {
 		wg.Go(func() {
-			status, err := r.ask(route)
+			status, err := r.send(route)
 			if err != nil {
 				status = -1
 			}
@@ -130,40 +135,43 @@
 	return counts
 }
 
-// freeze has requests wait in the socket buffers of a frozen gateway, and wakes
-// it. It returns the answers by status, and how long they took from the wake.
-func (r *wakeRig) freeze(route string, meanwhile func()) (statuses map[int]int, took time.Duration) {
-	r.process.Stop()
+// freeze freezes the gateway, calls meanwhile, sends requests that wait in its socket
+// buffers, and wakes it after freezeTime. It returns the number of answers by status,
+// and the time from the wake to the last of them.
+func (r *wakeRig) freeze(route string, meanwhile func()) (statuses map[int]int, latency time.Duration) {
+	r.gateway.Stop()
 	began := time.Now()
-	// What it asked the store before the freeze has its answer by then.
-	after(began, standingRead)
+	// By then the store has answered the polls from before the freeze.
+	waitUntil(began, longPollTime)
 	meanwhile()
 	answers := make(chan map[int]int)
-	go func() { answers <- r.askMany(route) }()
-	after(began, frozenFor)
-	r.process.Cont()
+	go func() { answers <- r.sendMany(route) }()
+	waitUntil(began, freezeTime)
+	r.gateway.Cont()
 	woke := time.Now()
 	statuses = <-answers
 	return statuses, time.Since(woke)
 }
 
-// wakeEndpoint is an endpoint whose connections can go silent for good, without
-// a reset, while new ones work.
+// wakeEndpoint is an endpoint whose existing connections can go silent for good,
+// without a reset, while new ones work.
 type wakeEndpoint struct {
 	standin.Endpoint
 	addr string
-	// silencedAt is when the connections of that time fell silent.
+	// silencedAt is set once connections are silenced: those accepted before it get
+	// no answer.
 	silencedAt atomic.Pointer[time.Time]
 }
 
-type bornKey struct{}
+// acceptedAtKey is the context key of the time at which a connection was accepted.
+type acceptedAtKey struct{}
 
 func (e *wakeEndpoint) serve(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	server := &http.Server{Handler: http.HandlerFunc(e.handle), ReadHeaderTimeout: patience,
+	server := &http.Server{Handler: http.HandlerFunc(e.handle), ReadHeaderTimeout: recoveryTimeout,
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			return context.WithValue(ctx, bornKey{}, time.Now())
+			return context.WithValue(ctx, acceptedAtKey{}, time.Now())
 		}}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
@@ -171,15 +179,15 @@
 }
 
 func (e *wakeEndpoint) handle(w http.ResponseWriter, r *http.Request) {
-	born, _ := r.Context().Value(bornKey{}).(time.Time)
-	if at := e.silencedAt.Load(); at != nil && born.Before(*at) {
+	acceptedAt, _ := r.Context().Value(acceptedAtKey{}).(time.Time)
+	if at := e.silencedAt.Load(); at != nil && acceptedAt.Before(*at) {
 		<-r.Context().Done()
 		return
 	}
 	e.ServeHTTP(w, r)
 }
 
-func (e *wakeEndpoint) silence() {
+func (e *wakeEndpoint) silenceConnections() {
 	now := time.Now()
 	e.silencedAt.Store(&now)
 }
@@ -188,53 +196,56 @@
 	return &wakeEndpoint{Endpoint: standin.Endpoint{ID: id}}
 }
 
-// A gateway's VM is frozen for seconds, and a route is added meanwhile. Customers
-// of the new route whose requests waited at the frozen gateway read that there is
-// no such route, and don't come back: on waking it answered by the configuration
-// that it knew, a moment before it had read the new one.
+// TestWokenGatewayKnowsTheNewRoute guards against "no such route" answers after a
+// freeze. A gateway's VM is frozen for seconds, and a route is added meanwhile. On
+// waking, the gateway answered waiting requests for the new route from its old
+// configuration, a moment before it read the new one; such clients do not retry.
 func TestWokenGatewayKnowsTheNewRoute(t *testing.T) {
 	r := startWakeRig(t, newWakeEndpoint("i-1"), newWakeEndpoint("i-2"))
 	statuses, took := r.freeze("new", func() {
 		r.slowStore()
 		r.publish("idem", "once", "new")
 	})
-	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: whileFrozen})
-	assert.Assert(t, took < wakeAnswer, "%v", took)
+	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: requestsWhileFrozen})
+	assert.Assert(t, took < maxWakeLatency, "%v", took)
 }
 
-// An endpoint begins to leave while a gateway is frozen. The gateway wakes and
-// sends it the orders that waited, though it may end at any moment and take them
-// along; they may run once only, so nobody can send them again.
+// TestWokenGatewaySendsNothingToALeavingEndpoint guards against requests that are
+// lost with a leaving endpoint. The endpoint begins to leave while the gateway is
+// frozen. On waking, the gateway sent it the waiting orders, though it may exit at any
+// moment; the orders may run only once, so they cannot be retried.
 func TestWokenGatewaySendsNothingToALeavingEndpoint(t *testing.T) {
 	leaving, stays := newWakeEndpoint("i-1"), newWakeEndpoint("i-2")
 	r := startWakeRig(t, leaving, stays)
-	assert.DeepEqual(t, r.askMany("once"), map[int]int{http.StatusOK: whileFrozen})
+	assert.DeepEqual(t, r.sendMany("once"), map[int]int{http.StatusOK: requestsWhileFrozen})
 	before := len(leaving.Runs())
 	assert.Assert(t, before > 0)
 	statuses, took := r.freeze("once", func() {
 		r.slowStore()
 		r.list(leaving, "draining")
 	})
-	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: whileFrozen})
+	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: requestsWhileFrozen})
 	assert.Equal(t, len(leaving.Runs())-before, 0)
-	assert.Assert(t, took < wakeAnswer, "%v", took)
+	assert.Assert(t, took < maxWakeLatency, "%v", took)
 }
 
-// While a gateway's VM is frozen its connections to endpoints fall silent, as
-// when the way between them forgets them. On waking it sends orders that may run
-// once only over the kept connections; the customers wait until their deadlines
-// and never learn whether the orders ran.
+// TestWokenGatewaySendsNothingOnKeptConnections guards against requests that are sent
+// over dead connections. While a gateway's VM is frozen, its connections to endpoints
+// go silent, as when a router on the path drops their state. On waking, the gateway
+// sent orders that may run only once over the idle connections; the clients waited
+// until their deadlines and never learned whether the orders ran.
 func TestWokenGatewaySendsNothingOnKeptConnections(t *testing.T) {
 	e := newWakeEndpoint("i-1")
 	r := startWakeRig(t, e)
-	assert.DeepEqual(t, r.askMany("once"), map[int]int{http.StatusOK: whileFrozen})
-	statuses, took := r.freeze("once", e.silence)
-	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: whileFrozen})
-	assert.Assert(t, took < wakeAnswer, "%v", took)
+	assert.DeepEqual(t, r.sendMany("once"), map[int]int{http.StatusOK: requestsWhileFrozen})
+	statuses, took := r.freeze("once", e.silenceConnections)
+	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: requestsWhileFrozen})
+	assert.Assert(t, took < maxWakeLatency, "%v", took)
 }
 
-// The store is away when a gateway wakes. It must not wait for it: requests are
-// served by what the gateway knew, those that may run once as well.
+// TestWokenGatewayServesWithoutTheStore guards against a gateway that waits for an
+// unreachable store on waking. It must serve requests from what it knew before the
+// freeze, also those that may run only once.
 func TestWokenGatewayServesWithoutTheStore(t *testing.T) {
 	for _, route := range []string{"idem", "once"} {
 		t.Run(route, func(t *testing.T) {
@@ -247,8 +258,8 @@
 					return false
 				})
 			})
-			assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: whileFrozen})
-			assert.Assert(t, took < wakeAnswer, "%v", took)
+			assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: requestsWhileFrozen})
+			assert.Assert(t, took < maxWakeLatency, "%v", took)
 		})
 	}
 }
--- a/integration/latency_test.go
+++ b/integration/latency_test.go
@@ -18,37 +18,40 @@
 )
 
 const (
-	// runTime is short, so that the difference stands out, and long enough
-	// for a timer to keep.
+	// runTime is short, so that the added latency stands out, and long enough
+	// for timers to be precise.
 	runTime = 2 * time.Millisecond
-	// unlimited is more than any test asks for.
+	// unlimited is a limit that no test reaches.
 	unlimited      = 900_000
 	histogramMax   = int64(time.Minute)
 	histogramDigit = 3
 )
 
-// measured holds the times of one way to the stand-in.
-type measured struct {
+// latencies is the histogram of the latencies of one path to the fake endpoint, in
+// nanoseconds.
+type latencies struct {
 	*hdrhistogram.Histogram
 }
 
-func newMeasured() measured {
-	return measured{hdrhistogram.New(1, histogramMax, histogramDigit)}
+func newLatencies() latencies {
+	return latencies{hdrhistogram.New(1, histogramMax, histogramDigit)}
 }
 
-func (m measured) quantile(q float64) float64 {
+// quantile returns the q-th percentile in microseconds.
+func (m latencies) quantile(q float64) float64 {
 	return float64(m.ValueAtQuantile(q)) / float64(time.Microsecond)
 }
 
-// BenchmarkAddedLatency sends to the same stand-in directly and through an
-// entry and an agent, in turn, one request at a time, and reports the
-// quantiles of both in microseconds and their differences.
+// BenchmarkAddedLatency sends requests to one fake endpoint, one at a time and in
+// turn directly and through an entry and an agent. It reports the percentiles of
+// both in microseconds and their differences.
 func BenchmarkAddedLatency(b *testing.B) {
 	fleet := harness.Start(b, harness.Config{
 		Pools:   map[string]int{catalogue: 1},
 		Entries: 1,
 		Plain:   true,
-		// The caller shares no process with the stand-in, as little as the entry does.
+		// The fake endpoint runs in its own process, shared neither with the caller
+		// nor with the entry.
 		EndpointsApart: true,
 		Edit: func(b *bundle.Bundle) {
 			b.Accounts[0].Limit = bundle.Limit{RequestsPerSecond: unlimited, Burst: unlimited, InFlight: unlimited}
@@ -57,7 +60,7 @@
 	})
 	client := &http.Client{Transport: &http.Transport{}}
 	input := harness.Marker("latency")
-	direct, through := newMeasured(), newMeasured()
+	direct, through := newLatencies(), newLatencies()
 	for b.Loop() {
 		began := time.Now()
 		callDirectly(b, client, fleet.Endpoint("catalogue-1").URL(), input)
@@ -78,7 +81,7 @@
 	}
 }
 
-func record(b *testing.B, m measured, took time.Duration) {
+func record(b *testing.B, m latencies, took time.Duration) {
 	if err := m.RecordValue(int64(took)); err != nil {
 		b.Fatal(err)
 	}
--- a/integration/main_test.go
+++ b/integration/main_test.go
@@ -1,4 +1,4 @@
-// Package integration holds the proofs that need real processes.
+// Package integration holds the tests that need real processes.
 package integration
 
 import (
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -24,96 +24,100 @@
 	ordersPipeline = "workshop-orders"
 	orderStage     = "workshop-order"
 
-	// patience bounds the waits for a fleet to recover.
-	patience = 30 * time.Second
-	// quietPolls is how many polls in a row must find the endpoints' counters
-	// unmoved before no call is taken to be on its way any more.
-	quietPolls = 20
-	// askers is how many accounts are read at once.
-	askers = 16
+	// recoveryTimeout bounds each wait for a fleet to recover.
+	recoveryTimeout = 30 * time.Second
+	// idlePolls is how many polls in a row must find the endpoints' counters
+	// unchanged before no call is assumed to be in flight.
+	idlePolls = 20
+	// explainWorkers is how many explanations are read at the same time.
+	explainWorkers = 16
 )
 
-// Kinds of complaints about orders.
+// Kinds of failures of orders.
 const (
-	ranTwice        = "an order ran more than once"
-	falselyAnswered = "answered, but the endpoints did not run it once"
-	falselyRefused  = "refused, but the endpoints ran it"
-	finallyRefused  = "refused at last, but the endpoints ran an earlier sending"
-	foreignAnswer   = "an answer that is not the order's own"
-	noOutcome       = "a reply without an outcome"
-	falseAccount    = "the account tells something else than what happened"
-	noAccount       = "there is no account"
+	ranTwice           = "an order ran more than once"
+	falselyAnswered    = "answered, but the endpoints did not run it once"
+	falselyRefused     = "refused, but the endpoints ran it"
+	refusedAfterRun    = "refused at last, but the endpoints ran an earlier submission"
+	mismatchedAnswer   = "an answer to another request"
+	noOutcome          = "a reply without an outcome"
+	wrongExplanation   = "the explanation differs from what happened"
+	missingExplanation = "there is no explanation"
 )
 
-// identification is how a caller lets an order be recognised.
+// identification is how a caller identifies an order that it may submit again.
 type identification string
 
 const (
-	// minted: not at all, each sending is a request of its own.
+	// minted: not at all; the entry mints a request ID for each submission.
 	minted identification = "minted"
-	// held: by a request ID fetched before.
+	// held: by a request ID that was fetched beforehand.
 	held identification = "held"
-	// timedKey and opaqueKey: by an idempotency key with and without a time in it.
+	// timedKey and opaqueKey: by an idempotency key that contains its time or not.
 	timedKey  identification = "timed key"
 	opaqueKey identification = "opaque key"
 )
 
-// order is one order and everything that was sent for it.
+// order is one order and all its submissions.
 type order struct {
-	marker string
-	by     identification
-	call   harness.Call
-	opened time.Time
+	marker       string
+	identifiedBy identification
+	call         harness.Call
+	createdAt    time.Time
 
-	mu       sync.Mutex
-	sendings []*sending
+	mu          sync.Mutex
+	submissions []*submission
 }
 
-// sending is one time that an order was sent, and what came back.
-type sending struct {
-	entry int
-	reply *harness.Reply
-	began time.Time
-	ended time.Time
-	// after: an earlier sending was answered before this one began.
-	after bool
+// submission is one arrival of an order at an entry, and its reply.
+type submission struct {
+	entry     int
+	reply     *harness.Reply
+	startedAt time.Time
+	endedAt   time.Time
+	// afterAnswer means that an earlier submission was answered before this one
+	// started.
+	afterAnswer bool
 }
 
-// last returns the sending that began after all others had ended, or nil.
-func (o *order) last() *sending {
-	latest := o.sendings[len(o.sendings)-1]
-	for _, s := range o.sendings {
-		if s != latest && !s.ended.Before(latest.began) {
+// lastSubmission returns the submission that started after all others had ended, or
+// nil if there is none.
+func (o *order) lastSubmission() *submission {
+	latest := o.submissions[len(o.submissions)-1]
+	for _, s := range o.submissions {
+		if s != latest && !s.endedAt.Before(latest.startedAt) {
 			return nil
 		}
 	}
 	return latest
 }
 
-func (s *sending) was(outcome api.Outcome) bool {
+func (s *submission) hasOutcome(outcome api.Outcome) bool {
 	return s.reply.Err == nil && s.reply.Outcome() == outcome
 }
 
 func (o *order) answered() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.ContainsFunc(o.sendings, func(s *sending) bool { return s.was(api.OutcomeAnswered) })
+	return slices.ContainsFunc(o.submissions, func(s *submission) bool { return s.hasOutcome(api.OutcomeAnswered) })
 }
 
-// book keeps all orders of a test and compares them with the endpoints' counters.
-type book struct {
-	complaints
+// orderChecker keeps all orders of a test and compares their outcomes with the
+// endpoints' counters.
+type orderChecker struct {
+	failures
 	t     *testing.T
 	fleet *harness.Fleet
-	// pipeline is ordersPipeline if empty. Whatever it is, it has orderStage.
+	// pipeline is the pipeline of all orders, ordersPipeline if empty. It must have
+	// orderStage.
 	pipeline string
 
 	mu     sync.Mutex
 	orders []*order
 }
 
-// orderFleet starts entries and three endpoints that take orders, with a proxy
-// on every way between them.
+// orderFleet starts entries and three endpoints of the pool of orders, with a proxy
+// on each connection. change may modify the configuration.
 func orderFleet(t *testing.T, change func(*harness.Config)) *harness.Fleet {
 	t.Helper()
 	cfg := harness.Config{
@@ -129,19 +133,18 @@
 	return harness.Start(t, cfg)
 }
 
-// remember makes keys be remembered for retention, and all clocks agree to
-// within skew.
-func remember(retention, skew time.Duration) func(*bundle.Bundle) {
+// withKeyRetention sets the policy's key retention and largest clock skew.
+func withKeyRetention(retention, skew time.Duration) func(*bundle.Bundle) {
 	return func(b *bundle.Bundle) {
 		b.Policy.KeyRetention = bundle.Duration(retention)
 		b.Policy.MaxClockSkew = bundle.Duration(skew)
 	}
 }
 
-// open makes a new order. It returns nil if no ID could be held for it.
-func (b *book) open(by identification) *order {
+// newOrder creates an order. It returns nil if no request ID could be fetched for it.
+func (b *orderChecker) newOrder(by identification) *order {
 	b.mu.Lock()
-	o := &order{marker: fmt.Sprintf("order-%d", len(b.orders)), by: by, opened: time.Now()}
+	o := &order{marker: fmt.Sprintf("order-%d", len(b.orders)), identifiedBy: by, createdAt: time.Now()}
 	b.orders = append(b.orders, o)
 	b.mu.Unlock()
 	o.call = harness.Call{Pipeline: cmp.Or(b.pipeline, ordersPipeline), Input: harness.Order(o.marker)}
@@ -163,22 +166,22 @@
 	return o
 }
 
-// send sends an order through an entry.
-func (b *book) send(ctx context.Context, o *order, entryIndex int, timeout time.Duration) *sending {
+// send submits an order through an entry and records the reply.
+func (b *orderChecker) send(ctx context.Context, o *order, entryIndex int, timeout time.Duration) *submission {
 	call := o.call
 	call.Timeout = timeout
-	s := &sending{entry: entryIndex, after: o.answered(), began: time.Now()}
+	s := &submission{entry: entryIndex, afterAnswer: o.answered(), startedAt: time.Now()}
 	s.reply = b.fleet.Send(ctx, entryIndex, call)
-	s.ended = time.Now()
+	s.endedAt = time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.sendings = append(o.sendings, s)
+	o.submissions = append(o.submissions, s)
 	return s
 }
 
-// sendEach sends orders once each, all at the same time and the i-th through
-// entry i modulo the number of entries.
-func (b *book) sendEach(orders []*order, timeout func(int) time.Duration) *sync.WaitGroup {
+// sendEach submits each order once, all at the same time and in turn through the
+// entries; timeout returns the timeout of the i-th order.
+func (b *orderChecker) sendEach(orders []*order, timeout func(int) time.Duration) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i, o := range orders {
 		wg.Go(func() { b.send(b.t.Context(), o, i%len(b.fleet.Entries()), timeout(i)) })
@@ -186,16 +189,16 @@
 	return &wg
 }
 
-// runs is how often the endpoints ran each order.
-func (b *book) runs() map[string]int { return b.fleet.StageRuns()[orderStage] }
+// runs returns how often the endpoints ran each order.
+func (b *orderChecker) runs() map[string]int { return b.fleet.StageRuns()[orderStage] }
 
-// settle waits until no call is on its way to an endpoint any more.
-func (b *book) settle() {
+// awaitIdle waits until no call to an endpoint is in flight.
+func (b *orderChecker) awaitIdle() {
 	b.t.Helper()
-	b.fleet.WaitReady(patience)
+	b.fleet.WaitReady(recoveryTimeout)
 	quiet, last := 0, -1
-	harness.Wait(b.t, patience, func() error {
-		if err := b.idle(); err != nil {
+	harness.Wait(b.t, recoveryTimeout, func() error {
+		if err := b.checkIdle(); err != nil {
 			quiet = 0
 			return err
 		}
@@ -203,15 +206,15 @@
 		if total != last {
 			quiet, last = 0, total
 		}
-		if quiet++; quiet < quietPolls {
-			return errorx.IllegalState.New("the counters moved lately")
+		if quiet++; quiet < idlePolls {
+			return errorx.IllegalState.New("the counters changed recently")
 		}
 		return nil
 	})
 }
 
-// idle returns nil if no agent has a call.
-func (b *book) idle() error {
+// checkIdle returns nil if no agent has a call running or queued.
+func (b *orderChecker) checkIdle() error {
 	list, err := b.fleet.Status(b.t.Context(), 0)
 	if err != nil {
 		return err
@@ -227,28 +230,28 @@
 	return nil
 }
 
-// verify compares every reply and every account with the endpoints' counters.
-// It returns how many sendings had which outcome.
-func (b *book) verify() map[api.Outcome]int {
+// verify compares every reply and every explanation with the endpoints' counters.
+// It returns the number of submissions by outcome.
+func (b *orderChecker) verify() map[api.Outcome]int {
 	b.t.Helper()
-	b.settle()
+	b.awaitIdle()
 	runs := b.runs()
 	tally := make(map[api.Outcome]int)
 	for _, o := range b.orders {
 		b.verifyOrder(o, runs[o.marker], tally)
 	}
-	b.verifyAccounts(runs)
-	b.t.Logf("%d orders, %d of them run; sendings by outcome %v, by reason %v", len(b.orders), len(runs), tally, b.reasons())
+	b.verifyExplanations(runs)
+	b.t.Logf("%d orders, %d of them run; submissions by outcome %v, by reason %v", len(b.orders), len(runs), tally, b.reasons())
 	return tally
 }
 
-// reasons counts the sendings that were not answered by their reasons.
-func (b *book) reasons() map[api.Reason]int {
+// reasons counts the submissions that were not answered, by reason.
+func (b *orderChecker) reasons() map[api.Reason]int {
 	tally := make(map[api.Reason]int)
 	for _, o := range b.orders {
 		o.mu.Lock()
-		for _, s := range o.sendings {
-			if !s.was(api.OutcomeAnswered) {
+		for _, s := range o.submissions {
+			if !s.hasOutcome(api.OutcomeAnswered) {
 				tally[s.reply.Reason()]++
 			}
 		}
@@ -257,45 +260,48 @@
 	return tally
 }
 
-func (b *book) verifyOrder(o *order, n int, tally map[api.Outcome]int) {
-	if n > 1 && o.by != minted {
-		b.add(ranTwice, "%s (%s) ran %d times: %s", o.marker, o.by, n, o.history())
+// verifyOrder compares the replies to an order with n, the number of its runs, and
+// counts its submissions by outcome in tally.
+func (b *orderChecker) verifyOrder(o *order, n int, tally map[api.Outcome]int) {
+	if n > 1 && o.identifiedBy != minted {
+		b.add(ranTwice, "%s (%s) ran %d times: %s", o.marker, o.identifiedBy, n, o.history())
 	}
 	refused := 0
 	want := string(harness.Expect(b.fleet.Bundle, o.call.Pipeline, o.call.Input))
-	for _, s := range o.sendings {
+	for _, s := range o.submissions {
 		tally[s.reply.Outcome()]++
 		switch {
 		case s.reply.Err != nil:
-		case s.was(api.OutcomeAnswered):
+		case s.hasOutcome(api.OutcomeAnswered):
 			if n != 1 {
-				b.add(falselyAnswered, "%s (%s) ran %d times: %s", o.marker, o.by, n, o.history())
+				b.add(falselyAnswered, "%s (%s) ran %d times: %s", o.marker, o.identifiedBy, n, o.history())
 			}
 			if string(s.reply.Answer.Output) != want {
-				b.add(foreignAnswer, "%s (%s): %s, want %s", o.marker, o.by, s.reply.Answer.Output, want)
+				b.add(mismatchedAnswer, "%s (%s): %s, want %s", o.marker, o.identifiedBy, s.reply.Answer.Output, want)
 			}
-		case s.was(api.OutcomeRefused):
+		case s.hasOutcome(api.OutcomeRefused):
 			refused++
-			if s.after {
-				b.add(falselyRefused, "%s (%s) had been answered before: %s", o.marker, o.by, o.history())
+			if s.afterAnswer {
+				b.add(falselyRefused, "%s (%s) had been answered before: %s", o.marker, o.identifiedBy, o.history())
 			}
 		case s.reply.Outcome() == "":
-			b.add(noOutcome, "%s (%s): status %d, %s", o.marker, o.by, s.reply.Status, s.reply.Body)
+			b.add(noOutcome, "%s (%s): status %d, %s", o.marker, o.identifiedBy, s.reply.Status, s.reply.Body)
 		}
 	}
-	if refused > 0 && refused == len(o.sendings) && n != 0 {
-		b.add(falselyRefused, "%s (%s) ran %d times: %s", o.marker, o.by, n, o.history())
+	if refused > 0 && refused == len(o.submissions) && n != 0 {
+		b.add(falselyRefused, "%s (%s) ran %d times: %s", o.marker, o.identifiedBy, n, o.history())
 	}
-	// Its last word has the caller place the order anew, so it covers all
-	// sendings before.
-	if refused > 0 && n != 0 && o.last() != nil && o.last().was(api.OutcomeRefused) {
-		b.add(finallyRefused, "%s (%s) ran %d times: %s", o.marker, o.by, n, o.history())
+	// After a refusal of the last submission the caller places a new order, so the
+	// refusal must hold for all earlier submissions too.
+	if refused > 0 && n != 0 && o.lastSubmission() != nil && o.lastSubmission().hasOutcome(api.OutcomeRefused) {
+		b.add(refusedAfterRun, "%s (%s) ran %d times: %s", o.marker, o.identifiedBy, n, o.history())
 	}
 }
 
+// history describes the submissions of an order for messages.
 func (o *order) history() string {
 	text := ""
-	for _, s := range o.sendings {
+	for _, s := range o.submissions {
 		if s.reply.Err != nil {
 			text += fmt.Sprintf("[entry-%d: %v] ", s.entry+1, s.reply.Err)
 			continue
@@ -305,14 +311,14 @@
 	return text
 }
 
-// verifyAccounts reads the account of every request of which an ID is known.
-func (b *book) verifyAccounts(runs map[string]int) {
+// verifyExplanations checks the explanation of every request whose ID is known.
+func (b *orderChecker) verifyExplanations(runs map[string]int) {
 	var wg sync.WaitGroup
 	queue := make(chan *order)
-	for range askers {
+	for range explainWorkers {
 		wg.Go(func() {
 			for o := range queue {
-				b.verifyAccount(o, runs[o.marker])
+				b.verifyExplanation(o, runs[o.marker])
 			}
 		})
 	}
@@ -323,71 +329,74 @@
 	wg.Wait()
 }
 
-func (b *book) verifyAccount(o *order, n int) {
-	told := &stories{}
-	for _, s := range o.sendings {
+// verifyExplanation compares the explanations of an order's submissions with their
+// replies and with n, the number of its runs.
+func (b *orderChecker) verifyExplanation(o *order, n int) {
+	totals := &explanationTotals{}
+	for _, s := range o.submissions {
 		id := s.reply.RequestID()
 		if id == "" {
 			id = o.call.HeldID
 		}
 		if id == "" {
-			// The caller lost its entry before it learnt the ID.
-			told.unasked++
+			// The caller lost the connection before it received the ID.
+			totals.withoutID++
 			continue
 		}
-		e, err := b.fleet.Explain(b.t.Context(), b.survivor(), id)
+		e, err := b.fleet.Explain(b.t.Context(), b.runningEntry(), id)
 		if err != nil {
-			b.add(noAccount, "%s: %v", o.marker, err)
+			b.add(missingExplanation, "%s: %v", o.marker, err)
 			return
 		}
-		told.add(e)
-		if problem := contradiction(o, s, e); problem != "" {
-			b.add(falseAccount, "%s (%s): %s; %s; %s", o.marker, o.by, problem, o.history(), outline(&e.Story))
+		totals.add(e)
+		if problem := explanationMismatch(o, s, e); problem != "" {
+			b.add(wrongExplanation, "%s (%s): %s; %s; %s", o.marker, o.identifiedBy, problem, o.history(), formatStory(&e.Story))
 		}
 	}
-	if problem := told.judge(n); problem != "" {
-		b.add(falseAccount, "%s (%s) ran %d times: %s; %s; %s", o.marker, o.by, n, problem, o.history(), told.outlines)
+	if problem := totals.mismatch(n); problem != "" {
+		b.add(wrongExplanation, "%s (%s) ran %d times: %s; %s; %s", o.marker, o.identifiedBy, n, problem, o.history(), totals.texts)
 	}
 }
 
-// survivor is the first entry that runs.
-func (b *book) survivor() int {
+// runningEntry returns the index of the first entry that runs.
+func (b *orderChecker) runningEntry() int {
 	return slices.IndexFunc(b.fleet.Entries(), func(e *harness.Entry) bool { return e.Running() })
 }
 
-// contradiction compares an account with what the caller was told. An account
-// may say less, and then says that parts are missing.
-func contradiction(o *order, s *sending, e *entry.Explanation) string {
+// explanationMismatch compares an explanation with the reply and returns the
+// difference, or "". An explanation may be less definite than the reply if it says
+// that parts are missing.
+func explanationMismatch(o *order, s *submission, e *entry.Explanation) string {
 	story := &e.Story
 	switch {
 	case story.Contradicted:
-		return "the account contradicts itself"
+		return "the explanation contradicts itself"
 	case s.reply.Err != nil || s.reply.Outcome() == story.Outcome:
 		return ""
 	case story.Outcome == api.OutcomeUnknown && !story.Complete:
 		return ""
-	case o.by == held && len(o.sendings) > 1 && (story.Outcome != api.OutcomeRefused || s.was(api.OutcomeUnknown)):
-		// One account tells of all sendings of a held ID. Another sending may
-		// have been told more, or have proved what this one could not.
+	case o.identifiedBy == held && len(o.submissions) > 1 && (story.Outcome != api.OutcomeRefused || s.hasOutcome(api.OutcomeUnknown)):
+		// One explanation covers all submissions of a held ID. Another submission
+		// may have got a more definite reply, or have proved the outcome.
 		return ""
 	}
-	return fmt.Sprintf("the caller was told %s, the account says %s", s.reply.Outcome(), story.Outcome)
+	return fmt.Sprintf("the reply says %s, the explanation %s", s.reply.Outcome(), story.Outcome)
 }
 
-// stories is what the accounts of all sendings of one order say together.
-type stories struct {
-	asked      int
-	unasked    int
+// explanationTotals sums up the explanations of all submissions of one order.
+type explanationTotals struct {
+	explained  int
+	withoutID  int
 	refused    int
 	answered   int
 	incomplete int
 	started    int
 	done       int
-	outlines   string
+	texts      string
 }
 
-// outline is a story in short.
-func outline(s *ledger.Story) string {
+// formatStory formats a story in a few lines for messages.
+func formatStory(s *ledger.Story) string {
 	text := s.Verdict
 	for _, line := range s.Lines {
 		if r := line.Record; r != nil {
@@ -400,9 +409,9 @@
 	return text
 }
 
-func (s *stories) add(e *entry.Explanation) {
-	s.asked++
-	s.outlines += "\n  " + outline(&e.Story)
+func (s *explanationTotals) add(e *entry.Explanation) {
+	s.explained++
+	s.texts += "\n  " + formatStory(&e.Story)
 	switch e.Story.Outcome {
 	case api.OutcomeRefused:
 		s.refused++
@@ -426,17 +435,18 @@
 	}
 }
 
-// judge compares with the number of runs that the endpoints counted.
-func (s *stories) judge(n int) string {
+// mismatch compares the totals with n, the number of runs that the endpoints counted,
+// and returns the difference, or "".
+func (s *explanationTotals) mismatch(n int) string {
 	switch {
-	case s.refused > 0 && s.refused == s.asked && s.unasked == 0 && n != 0:
-		return "every account says refused"
+	case s.refused > 0 && s.refused == s.explained && s.withoutID == 0 && n != 0:
+		return "every explanation says refused"
 	case s.answered > 0 && n != 1:
-		return "an account says answered"
+		return "an explanation says answered"
 	case s.done > 0 && n == 0:
 		return "an agent says that it finished"
-	case s.asked > 0 && s.incomplete == 0 && s.unasked == 0 && s.started == 0 && n != 0:
-		return "the accounts claim to be complete, and no agent says that it started"
+	case s.explained > 0 && s.incomplete == 0 && s.withoutID == 0 && s.started == 0 && n != 0:
+		return "the explanations claim to be complete, and no agent says that it started"
 	}
 	return ""
 }
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -19,24 +19,24 @@
 
 const (
 	// concurrent is the number of requests of one pipeline that are sent at once.
-	concurrent = 200
+	requestsPerPipeline = 200
 	// explainEvery is the share of requests whose whole account is read.
 	explainEvery = 10
 	// accountTimeout is the time in which all parts of an account are there.
-	accountTimeout = 10 * time.Second
+	explanationTimeout = 10 * time.Second
 )
 
 // Kinds of complaints.
 const (
-	notAnswered    = "not answered"
-	wrongAnswer    = "answer not whole or not its own"
-	wrongRuns      = "endpoints ran a stage the wrong number of times"
-	wrongOutcome   = "another entry tells another outcome"
-	notAccountedOf = "the account is wrong or has gaps"
+	notAnswered           = "not answered"
+	wrongAnswer           = "answer not whole or not its own"
+	wrongRuns             = "endpoints ran a stage the wrong number of times"
+	wrongOutcome          = "another entry tells another outcome"
+	incompleteExplanation = "the account is wrong or has gaps"
 )
 
 // sent is one request and what came back.
-type sent struct {
+type request struct {
 	pipeline string
 	account  string
 	marker   string
@@ -45,11 +45,11 @@
 }
 
 // path is a fleet and what was sent to it.
-type path struct {
-	complaints
-	t     *testing.T
-	fleet *harness.Fleet
-	all   []*sent
+type pathTest struct {
+	failures
+	t        *testing.T
+	fleet    *harness.Fleet
+	requests []*request
 }
 
 // TestEveryPipelineAnswers is the whole path: a caller of any account sends to
@@ -64,33 +64,33 @@
 			// dozen cores stand still for more than a second now and then,
 			// which they take for a pause and drop their connections. So
 			// these run without it; the other tests have it.
-			p := &path{t: t, fleet: harness.Start(t, harness.Config{Deployment: deployment, LogLevel: "warn", Plain: true})}
+			p := &pathTest{t: t, fleet: harness.Start(t, harness.Config{Deployment: deployment, LogLevel: "warn", Plain: true})}
 			defer p.report(t)
-			defer p.tellPauses()
+			defer p.logPauses()
 			for i := range p.fleet.Bundle.Pipelines {
 				p.sendBurst(&p.fleet.Bundle.Pipelines[i])
 			}
 			p.checkAnswers()
 			p.checkRuns()
 			p.checkOutcomes()
-			p.checkAccounts()
+			p.checkExplanations()
 		})
 	}
 }
 
 // sendBurst sends requests of a pipeline all at once, through both entries and
 // from every account that may.
-func (p *path) sendBurst(pipeline *bundle.Pipeline) {
-	accounts := callers(p.fleet.Bundle, pipeline.Name)
+func (p *pathTest) sendBurst(pipeline *bundle.Pipeline) {
+	accounts := allowedAccounts(p.fleet.Bundle, pipeline.Name)
 	var wg sync.WaitGroup
-	for i := range concurrent {
-		s := &sent{
+	for i := range requestsPerPipeline {
+		s := &request{
 			pipeline: pipeline.Name,
 			account:  accounts[i/2%len(accounts)],
 			marker:   fmt.Sprintf("%s-%d", pipeline.Name, i),
 			entry:    i % len(p.fleet.Entries()),
 		}
-		p.all = append(p.all, s)
+		p.requests = append(p.requests, s)
 		wg.Go(func() {
 			s.reply = p.fleet.Send(p.t.Context(), s.entry, harness.Call{
 				Pipeline: s.pipeline, Account: s.account, Input: harness.Marker(s.marker),
@@ -100,7 +100,7 @@
 	wg.Wait()
 }
 
-func callers(b *bundle.Bundle, pipeline string) []string {
+func allowedAccounts(b *bundle.Bundle, pipeline string) []string {
 	var names []string
 	for _, a := range b.Accounts {
 		if len(a.Pipelines) == 0 || slices.Contains(a.Pipelines, pipeline) {
@@ -112,9 +112,9 @@
 
 // checkAnswers finds each answer whole and its own: the output follows from
 // the input alone, so any mixture of two requests shows.
-func (p *path) checkAnswers() {
+func (p *pathTest) checkAnswers() {
 	answered := make(map[string]int)
-	for _, s := range p.all {
+	for _, s := range p.requests {
 		a := s.reply.Answer
 		if s.reply.Err != nil || a == nil {
 			p.add(notAnswered, "%s: status %d, %v, %s", s.marker, s.reply.Status, s.reply.Err, s.reply.Body)
@@ -132,10 +132,10 @@
 			p.add(wrongAnswer, "%s: stages %v, want %v", s.marker, doneStages(a), p.stages(s))
 		}
 	}
-	p.t.Logf("answered of %d requests of each pipeline: %v", concurrent, answered)
+	p.t.Logf("answered of %d requests of each pipeline: %v", requestsPerPipeline, answered)
 }
 
-func (p *path) stages(s *sent) []string {
+func (p *pathTest) stages(s *request) []string {
 	var names []string
 	for _, stage := range p.fleet.Bundle.Pipeline(s.pipeline).Stages {
 		names = append(names, stage.Name)
@@ -157,7 +157,7 @@
 
 // tellPauses shows whether the machine stopped processes for a while, which
 // explains calls that got no answer.
-func (p *path) tellPauses() {
+func (p *pathTest) logPauses() {
 	for _, process := range p.fleet.Processes() {
 		if process.LogHas(`"event":"paused"`) {
 			p.t.Logf("the machine stopped %s for more than a second", process.Name)
@@ -168,10 +168,10 @@
 // checkRuns compares with the endpoints' own counters: each stage of each
 // answered request ran, an unrepeatable one once, and others oftener only as
 // far as the retry budget pays for second attempts. Nothing that was refused ran.
-func (p *path) checkRuns() {
+func (p *pathTest) checkRuns() {
 	runs := p.fleet.StageRuns()
 	wanted, extra := 0, 0
-	for _, s := range p.all {
+	for _, s := range p.requests {
 		for _, stage := range p.fleet.Bundle.Pipeline(s.pipeline).Stages {
 			n := runs[stage.Name][s.marker]
 			switch s.reply.Outcome() {
@@ -196,8 +196,8 @@
 }
 
 // checkOutcomes asks the other entry what became of each request.
-func (p *path) checkOutcomes() {
-	for _, s := range p.all {
+func (p *pathTest) checkOutcomes() {
+	for _, s := range p.requests {
 		other := (s.entry + 1) % len(p.fleet.Entries())
 		reply := p.fleet.Get(p.t.Context(), other, "/v1/requests/"+s.reply.RequestID(), examples.CredentialPrefix+s.account)
 		if reply.Err != nil || reply.Outcome() != s.reply.Outcome() {
@@ -208,18 +208,18 @@
 
 // checkAccounts reads the accounts of a share of the requests until all parts
 // agree with the endpoints' counters; the loser of a hedge may still be on its way.
-func (p *path) checkAccounts() {
-	for i, s := range p.all {
+func (p *pathTest) checkExplanations() {
+	for i, s := range p.requests {
 		if i%explainEvery != 0 || s.reply.Answer == nil {
 			continue
 		}
-		if err := harness.Eventually(accountTimeout, func() error { return p.checkAccount(s) }); err != nil {
-			p.add(notAccountedOf, "%s: %v", s.marker, err)
+		if err := harness.Eventually(explanationTimeout, func() error { return p.checkExplanation(s) }); err != nil {
+			p.add(incompleteExplanation, "%s: %v", s.marker, err)
 		}
 	}
 }
 
-func (p *path) checkAccount(s *sent) error {
+func (p *pathTest) checkExplanation(s *request) error {
 	e, err := p.fleet.Explain(p.t.Context(), s.entry, s.reply.RequestID())
 	if err != nil {
 		return err
@@ -230,16 +230,16 @@
 	if len(e.Parts) != len(p.fleet.Processes()) {
 		return errorx.IllegalState.New("%d parts of %d processes", len(e.Parts), len(p.fleet.Processes()))
 	}
-	told, err := tell(e)
+	counts, err := readRecords(e)
 	if err != nil {
 		return err
 	}
-	return p.compare(s, told)
+	return p.compareRuns(s, counts)
 }
 
 // account is what first-hand records say: the agents' of stages, by stage, and
 // the entry's of the outcome.
-type account struct {
+type runCounts struct {
 	started map[string]int
 	done    map[string]int
 	// stopped are runs that the agent had begun to write and then gave up.
@@ -247,21 +247,21 @@
 	finals  []api.Outcome
 }
 
-func tell(e *entry.Explanation) (*account, error) {
-	told := &account{started: make(map[string]int), done: make(map[string]int), stopped: make(map[string]int)}
+func readRecords(e *entry.Explanation) (*runCounts, error) {
+	counts := &runCounts{started: make(map[string]int), done: make(map[string]int), stopped: make(map[string]int)}
 	for _, part := range e.Parts {
 		if part.Missing != "" {
 			return nil, errorx.IllegalState.New("%s is missing: %s", part.Process, part.Missing)
 		}
 		for i := range part.Records {
-			told.add(&part.Records[i], part.Process, e.Issuer)
+			counts.add(&part.Records[i], part.Process, e.Issuer)
 		}
 	}
-	return told, nil
+	return counts, nil
 }
 
 // add counts a record that its own process shows; others hold copies.
-func (a *account) add(r *ledger.Record, process, issuer string) {
+func (a *runCounts) add(r *ledger.Record, process, issuer string) {
 	byAgent := process == r.Process && process == r.Endpoint
 	switch {
 	case r.Kind == ledger.KindStarted && byAgent:
@@ -275,19 +275,19 @@
 	}
 }
 
-func (p *path) compare(s *sent, told *account) error {
-	if !slices.Equal(told.finals, []api.Outcome{api.OutcomeAnswered}) {
-		return errorx.IllegalState.New("final records %v", told.finals)
+func (p *pathTest) compareRuns(s *request, counts *runCounts) error {
+	if !slices.Equal(counts.finals, []api.Outcome{api.OutcomeAnswered}) {
+		return errorx.IllegalState.New("final records %v", counts.finals)
 	}
 	runs := p.fleet.StageRuns()
 	for _, stage := range p.stages(s) {
 		n := runs[stage][s.marker]
 		// The loser of a hedge may be stopped before the endpoint has read it;
 		// the agent cannot know, and says that it may have run.
-		atMost, atLeast := told.started[stage], told.started[stage]-told.stopped[stage]
-		if n > atMost || n < atLeast || told.done[stage] < 1 || told.done[stage] > n {
+		atMost, atLeast := counts.started[stage], counts.started[stage]-counts.stopped[stage]
+		if n > atMost || n < atLeast || counts.done[stage] < 1 || counts.done[stage] > n {
 			return errorx.IllegalState.New("stage %s ran %d times; agents say %d started, %d done, %d stopped",
-				stage, n, told.started[stage], told.done[stage], told.stopped[stage])
+				stage, n, counts.started[stage], counts.done[stage], counts.stopped[stage])
 		}
 	}
 	return nil
--- a/integration/placement_test.go
+++ b/integration/placement_test.go
@@ -28,13 +28,13 @@
 	newModel  = "new-model"
 	// shortStop is long enough for the agent to notice, and shorter than its
 	// patience with a connection.
-	shortStop = 1400 * time.Millisecond
+	agentPause = 1400 * time.Millisecond
 	// loadsPerMinute is the pace of one load a second.
 	loadsPerMinute = 60
 )
 
 // modelsHeld returns what an engine says that it holds.
-func modelsHeld(t *testing.T, e *harness.Endpoint) ([]string, error) {
+func loadedModels(t *testing.T, e *harness.Endpoint) ([]string, error) {
 	client, err := endpoint.New(string(bundle.ProtocolEngine), e.URL())
 	if err != nil {
 		return nil, err
@@ -47,8 +47,8 @@
 
 func awaitModel(t *testing.T, e *harness.Endpoint, model string) {
 	t.Helper()
-	harness.Wait(t, waitLimit, func() error {
-		models, err := modelsHeld(t, e)
+	harness.Wait(t, waitTimeout, func() error {
+		models, err := loadedModels(t, e)
 		if err == nil && !slices.Contains(models, model) {
 			err = errorx.IllegalState.New("%s holds %v", e.Name, models)
 		}
@@ -57,7 +57,7 @@
 }
 
 // withModels names the models of the engines.
-func withModels(fleet *harness.Fleet, version uint64, models ...string) []byte {
+func bundleWithModels(fleet *harness.Fleet, version uint64, models ...string) []byte {
 	return fleet.YAML(func(b *bundle.Bundle) {
 		b.Version = version
 		b.Pool(poolEngines).Models = models
@@ -76,8 +76,8 @@
 }
 
 const (
-	lineDecided = "placement"
-	lineGiven   = "order"
+	decisionMessage = "placement"
+	orderMessage    = "order"
 )
 
 func orderLines(p *harness.Process, message string) []orderLine {
@@ -95,7 +95,7 @@
 // moment. If each loaded at once, the weight store would turn most of them away.
 // The loads come one by one at the bundle's pace, one for each engine, each from
 // the one agent beside it and with a log line on the decision.
-func TestModelLoadsKeepThePace(t *testing.T) {
+func TestModelLoadsKeepToTheRate(t *testing.T) {
 	const engines = 6
 	began := time.Now()
 	fleet := harness.Start(t, harness.Config{
@@ -104,7 +104,7 @@
 		Engine: func(_ *bundle.Pool, s *fake.EngineSettings) { s.Models, s.RequireModel = nil, true },
 	})
 	var loads []time.Time
-	harness.Wait(t, waitLimit, func() error {
+	harness.Wait(t, waitTimeout, func() error {
 		now, n := time.Now(), 0
 		for _, e := range fleet.PoolEndpoints(poolEngines) {
 			n += e.Counts().OrdersToLoad
@@ -120,11 +120,11 @@
 	for _, e := range fleet.PoolEndpoints(poolEngines) {
 		awaitModel(t, e, baseModel)
 		agent := fleet.Agent(e.Name)
-		decided, given := orderLines(agent, lineDecided), orderLines(agent, lineGiven)
+		decided, sent := orderLines(agent, decisionMessage), orderLines(agent, orderMessage)
 		assert.Equal(t, len(decided), 1)
-		assert.Equal(t, len(given), 1)
-		assert.Equal(t, given[0].Endpoint, e.Name)
-		assert.Equal(t, given[0].Process, e.Name)
+		assert.Equal(t, len(sent), 1)
+		assert.Equal(t, sent[0].Endpoint, e.Name)
+		assert.Equal(t, sent[0].Process, e.Name)
 		assert.Equal(t, e.Counts().OrdersToLoad, 1)
 	}
 	last := loads[len(loads)-1].Sub(loads[0])
@@ -146,7 +146,7 @@
 	engine, err := url.Parse(fleet.Endpoint(engineName).URL())
 	assert.NilError(t, err)
 	gate.To(engine.Host)
-	fleet.WaitReady(waitLimit)
+	fleet.WaitReady(waitTimeout)
 	return fleet, gate
 }
 
@@ -155,8 +155,8 @@
 // awaitDecision waits until the agent has decided to load a model.
 func awaitDecision(t *testing.T, agent *harness.Process, model string) {
 	t.Helper()
-	harness.Wait(t, waitLimit, func() error {
-		for _, line := range orderLines(agent, lineDecided) {
+	harness.Wait(t, waitTimeout, func() error {
+		for _, line := range orderLines(agent, decisionMessage) {
 			if line.Model == model {
 				return nil
 			}
@@ -169,26 +169,26 @@
 // write it to. Meanwhile the bundle changes, so that the order is wrong. The
 // connection is there when the agent wakes; the engine does not check fencing
 // numbers. The agent itself holds the order back, and obeys the new bundle.
-func TestWokenAgentHoldsItsOrderBack(t *testing.T) {
+func TestWokenAgentWithholdsStaleOrder(t *testing.T) {
 	fleet, gate := engineFleet(t, true)
 	agent, engine := fleet.Agent(engineName), fleet.Endpoint(engineName)
 	gate.Fill()
-	fleet.Publish(withModels(fleet, 2, baseModel, oldModel))
+	fleet.Publish(bundleWithModels(fleet, 2, baseModel, oldModel))
 	awaitDecision(t, agent, oldModel)
 	agent.Stop()
 	stopped := time.Now()
 	gate.Open()
-	fleet.Publish(withModels(fleet, 3, baseModel, newModel))
+	fleet.Publish(bundleWithModels(fleet, 3, baseModel, newModel))
 	// The kernel goes on connecting for the stopped process.
-	harness.Wait(t, waitLimit, gate.Connected)
-	after(stopped, shortStop)
+	harness.Wait(t, waitTimeout, gate.Connected)
+	waitUntil(stopped, agentPause)
 	agent.Cont()
 	awaitModel(t, engine, newModel)
 	assert.Equal(t, engine.Counts().OrdersToLoad, 1, "the old order was given too")
-	held := slices.DeleteFunc(orderLines(agent, lineGiven), func(l orderLine) bool { return l.Error == "" })
-	assert.Equal(t, len(held), 1)
-	t.Logf("held back: %s", held[0].Error)
-	models, err := modelsHeld(t, engine)
+	withheld := slices.DeleteFunc(orderLines(agent, orderMessage), func(l orderLine) bool { return l.Error == "" })
+	assert.Equal(t, len(withheld), 1)
+	t.Logf("held back: %s", withheld[0].Error)
+	models, err := loadedModels(t, engine)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, models, []string{baseModel, newModel})
 }
@@ -198,21 +198,21 @@
 // bundle when the old one arrives. An engine that checks fencing numbers refuses
 // it. One that does not obeys it: nobody is left who could hold it back, and
 // the superfluous model stays. That is what remains possible.
-func TestDelayedOrderMeetsTheFence(t *testing.T) {
+func TestDelayedOrderIsFenced(t *testing.T) {
 	for _, ignoreFence := range []bool{false, true} {
 		t.Run(fmt.Sprintf("ignoreFence=%v", ignoreFence), func(t *testing.T) {
 			fleet, gate := engineFleet(t, ignoreFence)
 			agent, engine := fleet.Agent(engineName), fleet.Endpoint(engineName)
 			gate.Hold()
-			fleet.Publish(withModels(fleet, 2, baseModel, oldModel))
+			fleet.Publish(bundleWithModels(fleet, 2, baseModel, oldModel))
 			awaitDecision(t, agent, oldModel)
-			harness.Wait(t, waitLimit, gate.Held)
+			harness.Wait(t, waitTimeout, gate.Held)
 			agent.Stop()
-			fleet.Publish(withModels(fleet, 3, baseModel, newModel))
+			fleet.Publish(bundleWithModels(fleet, 3, baseModel, newModel))
 			fleet.Replace(engineName)
 			awaitModel(t, engine, newModel)
 			gate.Open()
-			harness.Wait(t, waitLimit, func() error {
+			harness.Wait(t, waitTimeout, func() error {
 				if c := engine.Counts(); c.StaleRefused+c.StaleAccepted == 0 {
 					return errorx.IllegalState.New("the old order has not arrived")
 				}
@@ -226,8 +226,8 @@
 			}
 			assert.Equal(t, counts.StaleRefused, 1)
 			agent.Cont()
-			fleet.WaitReady(waitLimit)
-			models, err := modelsHeld(t, engine)
+			fleet.WaitReady(waitTimeout)
+			models, err := loadedModels(t, engine)
 			assert.NilError(t, err)
 			assert.DeepEqual(t, models, []string{baseModel, newModel})
 			assert.Equal(t, engine.Counts().OrdersToLoad, 1)
@@ -246,17 +246,17 @@
 	})
 	leaving := fleet.Agent(engineName)
 	fleet.SetVMState(leaving.VM, confsvc.VMLeaving)
-	harness.Wait(t, waitLimit, func() error { return fleet.Unusable(0, engineName) })
-	fleet.Publish(withModels(fleet, 2, baseModel, newModel))
-	harness.Wait(t, waitLimit, func() error { return fleet.InForce(2) })
+	harness.Wait(t, waitTimeout, func() error { return fleet.Unusable(0, engineName) })
+	fleet.Publish(bundleWithModels(fleet, 2, baseModel, newModel))
+	harness.Wait(t, waitTimeout, func() error { return fleet.InForce(2) })
 	// Three turns of the pace pass.
-	after(time.Now(), 3*time.Minute/loadsPerMinute)
-	assert.Equal(t, len(orderLines(leaving, lineDecided)), 0)
+	waitUntil(time.Now(), 3*time.Minute/loadsPerMinute)
+	assert.Equal(t, len(orderLines(leaving, decisionMessage)), 0)
 	old := fleet.Replace(engineName)
 	awaitModel(t, fleet.Endpoint(engineName), newModel)
-	assert.Equal(t, len(orderLines(old, lineDecided)), 0)
+	assert.Equal(t, len(orderLines(old, decisionMessage)), 0)
 	// The agent writes the line when the engine has answered, which holds the
 	// model a moment before.
-	testwait.For(t, waitLimit, func() bool { return len(orderLines(fleet.Agent(engineName), lineGiven)) > 0 })
-	assert.Equal(t, len(orderLines(fleet.Agent(engineName), lineGiven)), 1)
+	testwait.For(t, waitTimeout, func() bool { return len(orderLines(fleet.Agent(engineName), orderMessage)) > 0 })
+	assert.Equal(t, len(orderLines(fleet.Agent(engineName), orderMessage)), 1)
 }
--- a/integration/poison_test.go
+++ b/integration/poison_test.go
@@ -20,10 +20,10 @@
 	// poison is in the input that crashes whatever engine runs it.
 	poison = "poison"
 	// resends is how often its caller sends it, one after another.
-	resends = 30
+	crashSubmissions = 30
 	// atOnce is the longest that a refusal without a run may take; the machine
 	// is shared.
-	atOnce = time.Second
+	maxRefusalTime = time.Second
 )
 
 // A caller's request crashes each engine that runs it. The caller sends it again
@@ -31,17 +31,17 @@
 // calls along. The crashes end at a stated number; everybody else is answered,
 // and the caller is told at once when to come back.
 func TestCrashingRequestIsStopped(t *testing.T) {
-	for _, parted := range []bool{false, true} {
-		t.Run(fmt.Sprintf("parted=%v", parted), func(t *testing.T) { stopCrashing(t, parted) })
+	for _, partitioned := range []bool{false, true} {
+		t.Run(fmt.Sprintf("parted=%v", partitioned), func(t *testing.T) { testCrashingRequest(t, partitioned) })
 	}
 }
 
-func stopCrashing(t *testing.T, parted bool) {
+func testCrashingRequest(t *testing.T, partitioned bool) {
 	fleet := harness.Start(t, harness.Config{
 		Pools:      map[string]int{"encoders": 1, "retrievers": 1, poolEngines: 6},
 		ProxyPeers: true,
 	})
-	if parted {
+	if partitioned {
 		fleet.Link("entry-1", "entry-2").Cut()
 	}
 	crashOn := poison
@@ -50,10 +50,10 @@
 	}
 	tr := startTraffic(t, fleet, 12, plainCall(pipelineNotes))
 	tr.mustAnswer = true
-	harness.Wait(t, waitLimit, func() error { return answeredSince(tr, 0, 50) })
+	harness.Wait(t, waitTimeout, func() error { return answeredSince(tr, 0, 50) })
 
 	var last *harness.Reply
-	for i := range resends {
+	for i := range crashSubmissions {
 		last = fleet.Send(t.Context(), i%2, plainCall(pipelineNotes)(poison))
 		assert.NilError(t, last.Err)
 		assert.Assert(t, last.Outcome() != api.OutcomeAnswered, "%s", last.Body)
@@ -61,30 +61,30 @@
 	// Package suspect states the bound: the policy's limit and the copies that
 	// another entry began before it heard; for each part if the entries are parted.
 	limit := fleet.Bundle.Policy.CrashLimit + len(fleet.Entries()) - 1
-	if parted {
+	if partitioned {
 		limit = fleet.Bundle.Policy.CrashLimit * len(fleet.Entries())
 	}
-	crashes := crashesOf(fleet)
-	t.Logf("%d sendings, %d crashes, at most %d allowed; the last was refused after %v", resends, crashes, limit, last.Took)
+	crashes := countCrashes(fleet)
+	t.Logf("%d sendings, %d crashes, at most %d allowed; the last was refused after %v", crashSubmissions, crashes, limit, last.Took)
 	assert.Assert(t, crashes >= 1 && crashes <= limit, "%d crashes", crashes)
 
 	assert.Equal(t, last.Outcome(), api.OutcomeRefused, "%s", last.Body)
 	assert.Equal(t, last.Reason(), api.ReasonSuspectRequest)
 	assert.Equal(t, last.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, last.Header.Get("Retry-After") != "")
-	assert.Assert(t, last.Took < atOnce, "refused after %v", last.Took)
+	assert.Assert(t, last.Took < maxRefusalTime, "refused after %v", last.Took)
 
 	answered := tr.answered.Load()
-	harness.Wait(t, waitLimit, func() error { return answeredSince(tr, answered, 100) })
-	tr.end(t)
-	assert.Equal(t, crashesOf(fleet), crashes, "crashes after the refusal")
+	harness.Wait(t, waitTimeout, func() error { return answeredSince(tr, answered, 100) })
+	tr.finish(t)
+	assert.Equal(t, countCrashes(fleet), crashes, "crashes after the refusal")
 }
 
 // The policy allows one attempt, so that each sending of the request that crashes
 // engines crashes one, after its earlier stages have succeeded. These
 // successes say nothing of the stage that crashes: the crashes of one sending
 // and the next must add up, or the caller could go on for ever.
-func TestCrashesAddUpOverSendings(t *testing.T) {
+func TestCrashesAddUpOverSubmissions(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{"encoders": 1, "retrievers": 1, poolEngines: 2},
 		Edit:  func(b *bundle.Bundle) { b.Policy.MaxAttempts = 1 },
@@ -93,14 +93,14 @@
 	for _, e := range fleet.PoolEndpoints(poolEngines) {
 		e.Apply(fake.Control{CrashOn: &crashOn})
 	}
-	for range resends {
-		harness.Wait(t, waitLimit, func() error { return anyUsable(t, fleet, poolEngines) })
+	for range crashSubmissions {
+		harness.Wait(t, waitTimeout, func() error { return anyUsable(t, fleet, poolEngines) })
 		reply := fleet.Send(t.Context(), 0, plainCall(pipelineNotes)(poison))
 		assert.NilError(t, reply.Err)
 		assert.Assert(t, reply.Outcome() != api.OutcomeAnswered, "%s", reply.Body)
 	}
-	crashes := crashesOf(fleet)
-	t.Logf("%d sendings, %d crashes", resends, crashes)
+	crashes := countCrashes(fleet)
+	t.Logf("%d sendings, %d crashes", crashSubmissions, crashes)
 	assert.Assert(t, crashes >= 1 && crashes <= fleet.Bundle.Policy.CrashLimit, "%d crashes", crashes)
 }
 
@@ -118,7 +118,7 @@
 	return fmt.Errorf("no endpoint of %s is up", pool)
 }
 
-func crashesOf(fleet *harness.Fleet) int {
+func countCrashes(fleet *harness.Fleet) int {
 	n := 0
 	for _, e := range fleet.PoolEndpoints(poolEngines) {
 		n += e.Counts().Crashes
--- a/integration/pool_away_test.go
+++ b/integration/pool_away_test.go
@@ -10,11 +10,11 @@
 
 const (
 	// awayMS is for how long all engines of the pool are away, in milliseconds.
-	awayMS = 200
+	outageMS = 200
 	// outages is how often, outageEvery how far apart.
-	outages     = 5
-	outageEvery = 2 * time.Second
-	poolCallers = 12
+	outages        = 5
+	outageInterval = 2 * time.Second
+	poolCallers    = 12
 )
 
 // TestBegunRequestsOutliveTheirPool guards against requests that are cut short
@@ -24,16 +24,16 @@
 		Pools: map[string]int{"encoders": 1, "retrievers": 1, poolEngines: 3},
 	})
 	tr := startTraffic(t, fleet, poolCallers, plainCall(pipelineNotes))
-	harness.Wait(t, waitLimit, func() error { return answeredSince(tr, 0, 50) })
-	outage := time.NewTicker(outageEvery)
+	harness.Wait(t, waitTimeout, func() error { return answeredSince(tr, 0, 50) })
+	outage := time.NewTicker(outageInterval)
 	defer outage.Stop()
 	for range outages {
 		for _, e := range fleet.PoolEndpoints(poolEngines) {
-			e.Apply(fake.Control{DownForMS: awayMS})
+			e.Apply(fake.Control{DownForMS: outageMS})
 		}
 		<-outage.C
 	}
 	answered := tr.answered.Load()
-	harness.Wait(t, waitLimit, func() error { return answeredSince(tr, answered, 100) })
-	tr.end(t)
+	harness.Wait(t, waitTimeout, func() error { return answeredSince(tr, answered, 100) })
+	tr.finish(t)
 }
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -26,7 +26,7 @@
 const peerDelay = 150 * time.Millisecond
 
 // described returns a bundle with the version and a text that tells it apart.
-func described(fleet *harness.Fleet, version uint64, text string) []byte {
+func describedBundle(fleet *harness.Fleet, version uint64, text string) []byte {
 	return fleet.YAML(func(b *bundle.Bundle) {
 		b.Version = version
 		b.Description = text
@@ -38,7 +38,7 @@
 }
 
 // heads returns what the named processes have in force, as told through an entry.
-func heads(t *testing.T, fleet *harness.Fleet, entry int, names []string) (map[string]wire.BundleHead, error) {
+func bundleHeads(t *testing.T, fleet *harness.Fleet, entry int, names []string) (map[string]wire.BundleHead, error) {
 	list, err := fleet.Status(t.Context(), entry)
 	if err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	t.Helper()
 	began := time.Now()
 	harness.Wait(t, limit, func() error {
-		found, err := heads(t, fleet, entry, names)
+		found, err := bundleHeads(t, fleet, entry, names)
 		if err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 }
 
 // logged tells how many processes have logged the result of a value that they read.
-func logged(fleet *harness.Fleet, result bundle.AdoptionResult) int {
+func countLogged(fleet *harness.Fleet, result bundle.AdoptionResult) int {
 	n := 0
 	for _, p := range fleet.Processes() {
 		if slices.ContainsFunc(bundleLines(p), func(line bundleLine) bool {
@@ -120,8 +120,8 @@
 // awaitLogged waits until at least n processes have logged the result.
 func awaitLogged(t *testing.T, fleet *harness.Fleet, result bundle.AdoptionResult, n int) {
 	t.Helper()
-	harness.Wait(t, waitLimit, func() error {
-		if got := logged(fleet, result); got < n {
+	harness.Wait(t, waitTimeout, func() error {
+		if got := countLogged(fleet, result); got < n {
 			return errorx.IllegalState.New("%d of %d processes log %s", got, n, result)
 		}
 		return nil
@@ -130,7 +130,7 @@
 
 // neverBack finds that no process put an older version in force, over all its
 // runs: its successor on the same VM counts as the same.
-func neverBack(t *testing.T, fleet *harness.Fleet) {
+func checkVersionsIncrease(t *testing.T, fleet *harness.Fleet) {
 	t.Helper()
 	for _, p := range fleet.Processes() {
 		var inForce []uint64
@@ -150,16 +150,16 @@
 func TestBundleIsInForceWithinSeconds(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{Pools: map[string]int{poolCatalogue: 6}, ProxyPlatform: true})
 	all := namesOf(fleet)
-	fleet.Publish(described(fleet, 2, "all reach the platform"))
+	fleet.Publish(describedBundle(fleet, 2, "all reach the platform"))
 	t.Logf("version 2 in force on %d processes after %v", len(all), awaitVersion(t, fleet, 0, 2, inForceLimit, all))
 
 	// One failure domain of three keeps the platform.
 	for _, name := range []string{"entry-2", "catalogue-2", "catalogue-3", "catalogue-5", "catalogue-6"} {
 		fleet.PlatformLink(name).Cut()
 	}
-	fleet.Publish(described(fleet, 3, "few reach the platform"))
+	fleet.Publish(describedBundle(fleet, 3, "few reach the platform"))
 	t.Logf("version 3 in force on %d processes after %v", len(all), awaitVersion(t, fleet, 0, 3, inForceLimit, all))
-	neverBack(t, fleet)
+	checkVersionsIncrease(t, fleet)
 }
 
 // An agent is cut off and an entry is stopped while a new version comes in force
@@ -170,15 +170,15 @@
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{poolCatalogue: 3}, ProxyPeers: true, ProxyPlatform: true,
 	})
-	old := fleet.Sign(described(fleet, 2, "old"))
+	old := fleet.Sign(describedBundle(fleet, 2, "old"))
 	publish(fleet, old)
 	awaitVersion(t, fleet, 0, 2, inForceLimit, namesOf(fleet))
 
-	apart := fleet.Links("catalogue-3")
-	apart.Cut()
+	agentLinks := fleet.Links("catalogue-3")
+	agentLinks.Cut()
 	fleet.PlatformLink("catalogue-3").Cut()
 	fleet.Entry(1).Stop()
-	publish(fleet, fleet.Sign(described(fleet, 3, "new")))
+	publish(fleet, fleet.Sign(describedBundle(fleet, 3, "new")))
 	rest := namesOf(fleet, "catalogue-3", "entry-2")
 	awaitVersion(t, fleet, 0, 3, inForceLimit, rest)
 
@@ -189,15 +189,15 @@
 	fresh.Kill()
 	toPeers.Delay(peerDelay)
 	fresh.Restart()
-	awaitVersion(t, fleet, 0, 3, waitLimit, rest)
+	awaitVersion(t, fleet, 0, 3, waitTimeout, rest)
 	toPeers.Heal()
 	fleet.Entry(1).Cont()
 	fleet.PlatformLink("catalogue-3").Heal()
-	apart.Heal()
-	awaitVersion(t, fleet, 0, 3, waitLimit, namesOf(fleet))
+	agentLinks.Heal()
+	awaitVersion(t, fleet, 0, 3, waitTimeout, namesOf(fleet))
 	awaitLogged(t, fleet, bundle.ResultOlder, 1)
-	awaitVersion(t, fleet, 1, 3, waitLimit, namesOf(fleet))
-	neverBack(t, fleet)
+	awaitVersion(t, fleet, 1, 3, waitTimeout, namesOf(fleet))
+	checkVersionsIncrease(t, fleet)
 }
 
 // Two operators publish one version with different contents, and each half of
@@ -218,26 +218,26 @@
 		for _, name := range half {
 			fleet.PlatformLink(name).Heal()
 		}
-		fleet.Publish(described(fleet, 2, fmt.Sprint("operator ", i+1)))
-		awaitVersion(t, fleet, i, 2, waitLimit, half)
+		fleet.Publish(describedBundle(fleet, 2, fmt.Sprint("operator ", i+1)))
+		awaitVersion(t, fleet, i, 2, waitTimeout, half)
 	}
 	between.Heal()
 	for _, name := range halves[0] {
 		fleet.PlatformLink(name).Heal()
 	}
-	fleet.WaitReady(waitLimit)
-	harness.Wait(t, inForceLimit, func() error { return oneContent(t, fleet) })
-	harness.Wait(t, waitLimit, func() error { return conflictLogged(fleet, len(halves[0])) })
+	fleet.WaitReady(waitTimeout)
+	harness.Wait(t, inForceLimit, func() error { return checkOneContent(t, fleet) })
+	harness.Wait(t, waitTimeout, func() error { return checkConflictLogged(fleet, len(halves[0])) })
 
-	fleet.Publish(described(fleet, 3, "settled"))
+	fleet.Publish(describedBundle(fleet, 3, "settled"))
 	awaitVersion(t, fleet, 0, 3, inForceLimit, namesOf(fleet))
-	assert.NilError(t, oneContent(t, fleet))
-	neverBack(t, fleet)
+	assert.NilError(t, checkOneContent(t, fleet))
+	checkVersionsIncrease(t, fleet)
 }
 
 // oneContent returns nil if all processes have the same bundle in force.
-func oneContent(t *testing.T, fleet *harness.Fleet) error {
-	found, err := heads(t, fleet, 0, namesOf(fleet))
+func checkOneContent(t *testing.T, fleet *harness.Fleet) error {
+	found, err := bundleHeads(t, fleet, 0, namesOf(fleet))
 	if err != nil {
 		return err
 	}
@@ -253,15 +253,15 @@
 
 // conflictLogged returns nil if at least n processes tell of the conflict as an
 // error. Those of the half whose content goes have seen both.
-func conflictLogged(fleet *harness.Fleet, n int) error {
-	told := 0
+func checkConflictLogged(fleet *harness.Fleet, n int) error {
+	logged := 0
 	for _, p := range fleet.Processes() {
 		if p.LogHas(`"level":"error"`, "CONFLICT") {
-			told++
+			logged++
 		}
 	}
-	if told < n {
-		return errorx.IllegalState.New("%d of %d processes tell of the conflict", told, n)
+	if logged < n {
+		return errorx.IllegalState.New("%d of %d processes tell of the conflict", logged, n)
 	}
 	return nil
 }
@@ -273,28 +273,28 @@
 func TestBadValuesChangeNothing(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{Pools: map[string]int{poolCatalogue: 2}})
 	all := namesOf(fleet)
-	fleet.Publish(described(fleet, 2, "good"))
+	fleet.Publish(describedBundle(fleet, 2, "good"))
 	awaitVersion(t, fleet, 0, 2, inForceLimit, all)
 
 	_, stranger, err := bundle.GenerateKey()
 	assert.NilError(t, err)
-	forged, err := bundle.Sign(stranger, described(fleet, 9, "forged"))
+	forged, err := bundle.Sign(stranger, describedBundle(fleet, 9, "forged"))
 	assert.NilError(t, err)
 	publish(fleet, forged)
 	awaitLogged(t, fleet, bundle.ResultBadSignature, 1)
 
 	half, whole := true, false
 	fleet.Platform.Config.Apply(fake.ConfigControl{HalfWritten: &half})
-	fleet.Publish(described(fleet, 3, "whole"))
+	fleet.Publish(describedBundle(fleet, 3, "whole"))
 	// So few processes all watch.
 	awaitLogged(t, fleet, bundle.ResultMalformed, len(all))
 	fleet.Agent("catalogue-1").Kill()
 	fleet.Agent("catalogue-1").Restart()
-	awaitVersion(t, fleet, 0, 2, waitLimit, all)
+	awaitVersion(t, fleet, 0, 2, waitTimeout, all)
 
 	fleet.Platform.Config.Apply(fake.ConfigControl{HalfWritten: &whole})
 	t.Logf("in force %v after the whole value could be read", awaitVersion(t, fleet, 0, 3, inForceLimit, all))
-	neverBack(t, fleet)
+	checkVersionsIncrease(t, fleet)
 }
 
 const (
@@ -328,10 +328,10 @@
 		return c.Total + c.VMs.Total
 	}
 	starting, began := calls(), time.Now()
-	after(began, platformWindow)
+	waitUntil(began, platformWindow)
 	rate := float64(calls()-starting) / time.Since(began).Seconds()
-	fleet.Publish(described(fleet, 2, "new"))
-	took := awaitVersion(t, fleet, 0, 2, waitLimit, namesOf(fleet))
+	fleet.Publish(describedBundle(fleet, 2, "new"))
+	took := awaitVersion(t, fleet, 0, 2, waitTimeout, namesOf(fleet))
 	counts := fleet.Platform.Counts()
 	t.Logf("%d processes: %d reads until ready, then %.2f a second; version 2 everywhere after %v; "+
 		"most in one second: %d of the configuration service, %d of the list",
--- a/integration/scenarios_test.go
+++ b/integration/scenarios_test.go
@@ -22,7 +22,7 @@
 	scenarioRate = 120
 	slowFactor   = 10
 	// attainedWithFault is the aim with one endpoint bad: at most 2 in 100 lost.
-	attainedWithFault = 0.98
+	minAttainment = 0.98
 )
 
 // Callers of all accounts send at a steady rate through both entries, as
@@ -81,7 +81,7 @@
 				wastedShare(report))
 			assert.Equal(t, report.Integrity.Wrong, 0)
 			assert.Equal(t, total.Failed, 0)
-			assert.Assert(t, total.Attainment >= attainedWithFault, "%.4f", total.Attainment)
+			assert.Assert(t, total.Attainment >= minAttainment, "%.4f", total.Attainment)
 		})
 	}
 }
--- a/integration/stages_test.go
+++ b/integration/stages_test.go
@@ -23,7 +23,7 @@
 	// frameTimeout leaves time for all three stages.
 	frameTimeout = 3 * time.Second
 	// longCheck leaves time to cut what comes after the check.
-	longCheck = 200 * time.Millisecond
+	slowCheckTime = 200 * time.Millisecond
 )
 
 // frameFleet starts what a frame order needs: its first stage may be repeated,
@@ -34,7 +34,7 @@
 		Pools:      map[string]int{cataloguePool: catalogues, ordersPool: 2, billingPool: 2},
 		ProxyPeers: true,
 		Plain:      true,
-		Edit:       remember(2*time.Minute, skew),
+		Edit:       withKeyRetention(2*time.Minute, skew),
 		Service: func(p *bundle.Pool, s *fake.ServiceSettings) {
 			s.Time = orderTime
 			if p.Name == cataloguePool {
@@ -45,7 +45,7 @@
 }
 
 // verifyStages holds every stage's own count against what callers were told.
-func (b *book) verifyStages() {
+func (b *orderChecker) verifyStages() {
 	b.t.Helper()
 	b.verify()
 	runs := b.fleet.StageRuns()
@@ -53,10 +53,10 @@
 		checks, makes, bills := runs[checkStage][o.marker], runs[orderStage][o.marker], runs[billingStage][o.marker]
 		if bills > 1 || bills > makes || (makes > 0 && checks == 0) {
 			b.add(ranTwice, "%s (%s): checked %d times, made %d times, billed %d times: %s",
-				o.marker, o.by, checks, makes, bills, o.history())
+				o.marker, o.identifiedBy, checks, makes, bills, o.history())
 		}
 		if o.answered() && bills != 1 {
-			b.add(falselyAnswered, "%s (%s): billed %d times: %s", o.marker, o.by, bills, o.history())
+			b.add(falselyAnswered, "%s (%s): billed %d times: %s", o.marker, o.identifiedBy, bills, o.history())
 		}
 	}
 }
@@ -66,21 +66,21 @@
 // connection and send again through the other entry. Each gets the answer to its
 // own order, and workshop and billing have worked once for each.
 func TestEntryKilledInMidPipeline(t *testing.T) {
-	b := &book{t: t, fleet: frameFleet(t, 2, orderTime), pipeline: framePipeline}
+	b := &orderChecker{t: t, fleet: frameFleet(t, 2, orderTime), pipeline: framePipeline}
 	defer b.report(t)
-	for _, moment := range []string{checkStage, orderStage, billingStage} {
+	for _, stage := range []string{checkStage, orderStage, billingStage} {
 		var orders []*order
-		for range 2 * ofEach {
-			orders = append(orders, b.open(held), b.open(timedKey))
+		for range 2 * ordersPerKind {
+			orders = append(orders, b.newOrder(held), b.newOrder(timedKey))
 		}
-		before := len(b.fleet.StageRuns()[moment])
+		before := len(b.fleet.StageRuns()[stage])
 		var first sync.WaitGroup
 		for _, o := range orders {
 			first.Go(func() { b.send(t.Context(), o, 0, frameTimeout) })
 		}
-		harness.Wait(t, patience, func() error {
-			if len(b.fleet.StageRuns()[moment]) == before {
-				return errorx.IllegalState.New("no order has reached stage %s", moment)
+		harness.Wait(t, recoveryTimeout, func() error {
+			if len(b.fleet.StageRuns()[stage]) == before {
+				return errorx.IllegalState.New("no order has reached stage %s", stage)
 			}
 			return nil
 		})
@@ -88,22 +88,22 @@
 		first.Wait()
 		var again sync.WaitGroup
 		for _, o := range orders {
-			again.Go(func() { b.persist(o, 1) })
+			again.Go(func() { b.retryUntilAnswered(o, 1) })
 		}
 		again.Wait()
 		for _, o := range orders {
-			assert.Assert(t, o.answered(), "%s (%s): %s", o.marker, o.by, o.history())
+			assert.Assert(t, o.answered(), "%s (%s): %s", o.marker, o.identifiedBy, o.history())
 		}
 		b.fleet.Entry(0).Restart()
-		b.fleet.WaitReady(patience)
+		b.fleet.WaitReady(recoveryTimeout)
 	}
 	b.verifyStages()
 }
 
 // persist sends an order through one entry until it is answered.
-func (b *book) persist(o *order, entryIndex int) {
-	for range sendings {
-		if b.send(b.t.Context(), o, entryIndex, frameTimeout).was(api.OutcomeAnswered) {
+func (b *orderChecker) retryUntilAnswered(o *order, entryIndex int) {
+	for range maxSubmissions {
+		if b.send(b.t.Context(), o, entryIndex, frameTimeout).hasOutcome(api.OutcomeAnswered) {
 			return
 		}
 	}
@@ -114,17 +114,17 @@
 // again when the way is free. The catalogue's agent still holds the result of the
 // check, and the catalogue is not asked twice. If that agent was started anew, it
 // holds nothing and the check, which may be repeated, runs again.
-func TestFinishedStageIsFoundAgain(t *testing.T) {
-	b := &book{t: t, fleet: frameFleet(t, 1, longCheck), pipeline: framePipeline}
+func TestFinishedStageIsReused(t *testing.T) {
+	b := &orderChecker{t: t, fleet: frameFleet(t, 1, slowCheckTime), pipeline: framePipeline}
 	defer b.report(t)
-	toWorkshops := b.fleet.Between([]string{"entry-1", "entry-2"}, agentsOf(b.fleet))
+	toWorkshops := b.fleet.Between([]string{"entry-1", "entry-2"}, orderAgents(b.fleet))
 	for _, restart := range []bool{false, true} {
-		orders := []*order{b.open(timedKey), b.open(opaqueKey), b.open(held)}
+		orders := []*order{b.newOrder(timedKey), b.newOrder(opaqueKey), b.newOrder(held)}
 		var first sync.WaitGroup
 		for _, o := range orders {
 			first.Go(func() { b.send(t.Context(), o, 0, frameTimeout) })
 		}
-		harness.Wait(t, patience, func() error {
+		harness.Wait(t, recoveryTimeout, func() error {
 			for _, o := range orders {
 				if b.fleet.StageRuns()[checkStage][o.marker] == 0 {
 					return errorx.IllegalState.New("%s is not being checked", o.marker)
@@ -135,7 +135,7 @@
 		toWorkshops.Cut()
 		first.Wait()
 		for _, o := range orders {
-			assert.Equal(t, o.sendings[0].reply.Outcome(), api.OutcomeCutShort, "%s", o.history())
+			assert.Equal(t, o.submissions[0].reply.Outcome(), api.OutcomeCutShort, "%s", o.history())
 		}
 		toWorkshops.Heal()
 		catalogue := b.fleet.Agent(cataloguePool + "-1")
@@ -143,21 +143,21 @@
 			catalogue.Kill()
 			catalogue.Restart()
 		}
-		b.fleet.WaitReady(patience)
+		b.fleet.WaitReady(recoveryTimeout)
 		b.awaitServing(1)
 		runs := 1
 		if restart {
 			runs = 2
 		}
 		for _, o := range orders {
-			if o.by != opaqueKey {
+			if o.identifiedBy != opaqueKey {
 				// An opaque key is not taken by a workshop's agent this young.
 				s := b.send(t.Context(), o, 1, frameTimeout)
-				assert.Equal(t, s.reply.Outcome(), api.OutcomeAnswered, "%s (%s): %s", o.marker, o.by, s.reply.Body)
+				assert.Equal(t, s.reply.Outcome(), api.OutcomeAnswered, "%s (%s): %s", o.marker, o.identifiedBy, s.reply.Body)
 			}
 			n := b.fleet.StageRuns()[checkStage][o.marker]
-			if o.by != opaqueKey && n != runs {
-				t.Errorf("%s (%s) was checked %d times, not %d", o.marker, o.by, n, runs)
+			if o.identifiedBy != opaqueKey && n != runs {
+				t.Errorf("%s (%s) was checked %d times, not %d", o.marker, o.identifiedBy, n, runs)
 			}
 		}
 	}
--- a/integration/stream_test.go
+++ b/integration/stream_test.go
@@ -14,7 +14,7 @@
 )
 
 // streamed is the data of a token event.
-type streamed struct {
+type tokenData struct {
 	Seq  int    `json:"seq"`
 	Text string `json:"text"`
 }
@@ -38,7 +38,7 @@
 			break
 		}
 		assert.Equal(t, e.Name, "token")
-		var token streamed
+		var token tokenData
 		assert.NilError(t, json.Unmarshal(e.Data, &token))
 		assert.Equal(t, token.Seq, i)
 		text += token.Text
@@ -77,7 +77,7 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			// A broken reply tells against the engine for a while.
-			fleet.WaitEntry(0, replyWait)
+			fleet.WaitEntry(0, replyTimeout)
 			once := 1
 			fleet.Endpoint("fitting-engines-1").Apply(fake.Control{Reply: &fault, ReplyCount: &once})
 			input := harness.Marker("broken-" + string(fault))
--- a/integration/traffic_test.go
+++ b/integration/traffic_test.go
@@ -15,7 +15,7 @@
 
 const (
 	// waitLimit bounds waits for what should come much sooner.
-	waitLimit = 30 * time.Second
+	waitTimeout = 30 * time.Second
 	// balancerPoll is how often the balancer asks an entry whether it is ready.
 	balancerPoll = 50 * time.Millisecond
 	// callerPause is between an answer and the same caller's next request.
@@ -25,7 +25,7 @@
 // traffic is a steady stream of requests, each sent once, through entries that
 // a balancer finds ready.
 type traffic struct {
-	complaints
+	failures
 	fleet *harness.Fleet
 	stop  context.CancelFunc
 	wg    sync.WaitGroup
@@ -40,15 +40,15 @@
 	mu sync.Mutex
 	// ownerless are the keys, which are the markers too, of calls whose owner was away or had
 	// just restarted. Nobody can tell then whether an earlier sending ran.
-	ownerless []string
+	ownerAwayKeys []string
 }
 
 const (
-	cutOff        = "no whole reply"
-	notHonest     = "neither answered nor refused"
-	noReturnTime  = "refused without a time to return"
-	wrongResponse = "the answer is not the request's own"
-	ranUnowned    = "ran, although its owner was away"
+	incompleteReply    = "no whole reply"
+	unexpectedOutcome  = "neither answered nor refused"
+	missingRetryAfter  = "refused without a time to return"
+	mismatchedResponse = "the answer is not the request's own"
+	ranWithoutOwner    = "ran, although its owner was away"
 )
 
 // startTraffic sends calls of each kind from some callers until stopped. A kind
@@ -88,7 +88,7 @@
 	ticker := time.NewTicker(callerPause)
 	defer ticker.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
-		if entry, ok := tr.choose(n); ok {
+		if entry, ok := tr.pickEntry(n); ok {
 			// What was begun is waited for although the traffic ends.
 			tr.send(context.WithoutCancel(ctx), entry, call(fmt.Sprintf("%s-%d", caller, n)))
 		}
@@ -101,7 +101,7 @@
 }
 
 // choose takes the entries that are ready in turn.
-func (tr *traffic) choose(n int) (int, bool) {
+func (tr *traffic) pickEntry(n int) (int, bool) {
 	for k := range tr.ready {
 		entry := (n + k) % len(tr.ready)
 		if tr.ready[entry].Load() {
@@ -114,21 +114,21 @@
 func (tr *traffic) send(ctx context.Context, entry int, call harness.Call) {
 	tr.sent.Add(1)
 	reply := tr.fleet.Send(ctx, entry, call)
-	tr.judge(call, entry, reply)
+	tr.checkReply(call, entry, reply)
 }
 
 // judge complains of anything but the whole right answer, or a refusal that
 // says when to come back.
-func (tr *traffic) judge(call harness.Call, entry int, reply *harness.Reply) {
+func (tr *traffic) checkReply(call harness.Call, entry int, reply *harness.Reply) {
 	what := fmt.Sprintf("%s %s through entry-%d after %v: status %d, %v, %s", call.Pipeline, call.Input, entry+1,
 		reply.Took, reply.Status, reply.Err, summary(reply))
 	switch {
 	case reply.Err != nil:
-		tr.add(cutOff, "%s", what)
+		tr.add(incompleteReply, "%s", what)
 	case reply.Outcome() == api.OutcomeAnswered:
 		tr.answered.Add(1)
 		if want := harness.Expect(tr.fleet.Bundle, call.Pipeline, call.Input); string(reply.Answer.Output) != string(want) {
-			tr.add(wrongResponse, "%s\nwant %s", what, want)
+			tr.add(mismatchedResponse, "%s\nwant %s", what, want)
 		}
 	case reply.Outcome() == api.OutcomeRefused:
 		tr.refused.Add(1)
@@ -136,14 +136,14 @@
 			tr.add(notAnswered, "%s", what)
 		}
 		if reply.Header.Get("Retry-After") == "" {
-			tr.add(noReturnTime, "%s", what)
+			tr.add(missingRetryAfter, "%s", what)
 		}
-	case call.Key != "" && ownerAway[reply.Reason()]:
+	case call.Key != "" && ownerAwayReasons[reply.Reason()]:
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
-		tr.ownerless = append(tr.ownerless, call.Key)
+		tr.ownerAwayKeys = append(tr.ownerAwayKeys, call.Key)
 	default:
-		tr.add(notHonest, "%s", what)
+		tr.add(unexpectedOutcome, "%s", what)
 	}
 }
 
@@ -162,21 +162,21 @@
 
 // ownerAway are the reasons for "unknown" that a call with a key may meet while
 // the one agent that may run it restarts.
-var ownerAway = map[api.Reason]bool{
+var ownerAwayReasons = map[api.Reason]bool{
 	api.ReasonOwnerUnreachable: true,
 	api.ReasonOwnerRestarted:   true,
 }
 
 // end stops the traffic, waits for what is under way and reports.
-func (tr *traffic) end(t *testing.T) {
+func (tr *traffic) finish(t *testing.T) {
 	t.Helper()
 	tr.stop()
 	tr.wg.Wait()
 	t.Logf("%d requests sent, %d answered, %d refused, %d without an owner",
-		tr.sent.Load(), tr.answered.Load(), tr.refused.Load(), len(tr.ownerless))
-	for _, marker := range tr.ownerless {
+		tr.sent.Load(), tr.answered.Load(), tr.refused.Load(), len(tr.ownerAwayKeys))
+	for _, marker := range tr.ownerAwayKeys {
 		if n := tr.fleet.Runs(marker); n != 0 {
-			tr.add(ranUnowned, "%s: %d runs", marker, n)
+			tr.add(ranWithoutOwner, "%s: %d runs", marker, n)
 		}
 	}
 	tr.report(t)
