--- a/soak/book_test.go
+++ b/soak/book_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// checkPiece checks that a segment has the key or the inputs of its own request.
-func (b *recorder) checkPiece(p standin.Piece) {
+// checkSegment checks that a segment has the key or the inputs of its own request.
+func (b *recorder) checkSegment(p standin.Piece) {
 	if p.Phase == 0 {
 		if p.Key != "key-"+p.ID {
 			b.addViolation("segment of %s has key %q", p.ID, p.Key)
--- a/soak/rig_test.go
+++ b/soak/rig_test.go
@@ -311,7 +311,7 @@
 		r.checkArrival("a call for segments", e)
 		entries := make([]map[string]string, len(message.Entries))
 		for i, p := range message.Entries {
-			r.recorder.checkPiece(p)
+			r.recorder.checkSegment(p)
 			if r.anyInputLost(p.Inputs) {
 				entries[i] = map[string]string{"reason": "gone"}
 				continue
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -188,9 +188,9 @@
 }
 
 // faultLink applies a fault to a link, and heals the link after d.
-func (r *rig) faultLink(l *harness.Link, d time.Duration, inject func(*harness.Link)) {
+func (r *rig) faultLink(l *harness.Link, d time.Duration, apply func(*harness.Link)) {
 	r.recorder.recordFault(d)
-	inject(l)
+	apply(l)
 	wait(d)
 	l.Heal()
 }
@@ -210,7 +210,7 @@
 // crash ends the process of an endpoint, with a fault on its link that its callers
 // see, and starts the next one after d under the same ID: within its lease or, with
 // expire set, after its entry has expired.
-func (r *rig) crash(e *endpoint, d time.Duration, inject func(*harness.Link), expire bool) {
+func (r *rig) crash(e *endpoint, d time.Duration, apply func(*harness.Link), expire bool) {
 	e.mu.Lock()
 	if !e.drainedAt.IsZero() || e.down {
 		e.mu.Unlock()
@@ -220,7 +220,7 @@
 	id := e.id
 	e.mu.Unlock()
 	r.recorder.recordFault(d)
-	inject(e.link)
+	apply(e.link)
 	wait(d / 2)
 	if expire {
 		r.store.Remove(platform.PrefixEndpoints + id)
