--- a/integration/atmostonce_test.go
+++ b/integration/atmostonce_test.go
@@ -31,10 +31,10 @@
 	skew      = 200 * time.Millisecond
 	// maxSubmissions is how often a caller submits an order at most.
 	maxSubmissions = 4
-	// A call that is cut after someBytes ends in its headers, one that is cut after
+	// A call that is cut after headerBytes ends in its headers, one that is cut after
 	// bodyBytes in its body.
-	someBytes = 20
-	bodyBytes = 330
+	headerBytes = 20
+	bodyBytes   = 330
 	// A reply that is cut after replyBytes ends in its body.
 	replyBytes = 150
 )
@@ -134,7 +134,7 @@
 			heal:   func(f *harness.Fleet) { entryPartition(f).Heal() },
 		},
 		endpointFault("endpoint cut off", func(l *harness.Link) { l.Cut() }),
-		endpointFault("cut in a call's headers", func(l *harness.Link) { l.LimitData(someBytes, harness.Upstream) }),
+		endpointFault("cut in a call's headers", func(l *harness.Link) { l.LimitData(headerBytes, harness.Upstream) }),
 		endpointFault("cut in a call's body", func(l *harness.Link) { l.LimitData(bodyBytes, harness.Upstream) }),
 		endpointFault("cut before a reply", func(l *harness.Link) { l.LimitData(1, harness.Downstream) }),
 		endpointFault("cut in a reply", func(l *harness.Link) { l.LimitData(replyBytes, harness.Downstream) }),
--- a/integration/gateway_stop_test.go
+++ b/integration/gateway_stop_test.go
@@ -28,8 +28,8 @@
 "services":[{"name":"llm","engine":{"slots":16,"kv_capacity":100000}}],
 "tenants":[{"name":"acme","api_keys":["k1"]}]}`
 
-// plainBinary selects the binary without the race detector, with which a process and
-// its streams go on for a second after its end.
+// plainBinary selects the binary without the race detector. With the detector a process
+// and its streams would go on for a second after its end.
 const plainBinary = true
 
 // stopGrace is the time between SIGTERM and SIGKILL, as users have set it.
@@ -143,9 +143,9 @@
 // TestStopTakesNoStreamThatItCannotFinish guards against streams that break off in a
 // planned stop of the gateway and cannot be sent again. A client uses a connection
 // from before SIGTERM for a request 3.1 s after it. The gateway accepted the request
-// without checking that the stream can end within the grace period, and exited before
-// its end. Users recorded SIGTERM, the request 3.1 s later, and the cut at the end of
-// the grace period.
+// without checking that the stream can end within the grace period, waited for its
+// stages, and exited before its end. Users recorded SIGTERM, the request 3.1 s later,
+// and the cut at the end of the grace period.
 func TestStopTakesNoStreamThatItCannotFinish(t *testing.T) {
 	const streamFor = 4800 * time.Millisecond
 	r := startStopRig(t, streamFor)
--- a/integration/leaving_test.go
+++ b/integration/leaving_test.go
@@ -23,7 +23,7 @@
 	watchTime = 2 * time.Second
 )
 
-// waitUntil waits until d after since, where a test checks a limit on time.
+// waitUntil waits until d after since. Tests use it to check limits on time.
 func waitUntil(since time.Time, d time.Duration) {
 	timer := time.NewTimer(time.Until(since.Add(d)))
 	<-timer.C
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -49,7 +49,7 @@
 type identification string
 
 const (
-	// minted: not at all; the entry mints a request ID for each submission.
+	// minted: not at all; the entry mints a new request ID for each submission.
 	minted identification = "minted"
 	// held: by a request ID that was fetched beforehand.
 	held identification = "held"
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -18,24 +18,25 @@
 )
 
 const (
-	// concurrent is the number of requests of one pipeline that are sent at once.
+	// requestsPerPipeline is the number of requests of each pipeline, which are sent
+	// at the same time.
 	requestsPerPipeline = 200
-	// explainEvery is the share of requests whose whole account is read.
+	// explainEvery selects the requests whose explanation is read: one in ten.
 	explainEvery = 10
-	// accountTimeout is the time in which all parts of an account are there.
+	// explanationTimeout is the time within which an explanation must be complete.
 	explanationTimeout = 10 * time.Second
 )
 
-// Kinds of complaints.
+// Kinds of failures of requests.
 const (
 	notAnswered           = "not answered"
-	wrongAnswer           = "answer not whole or not its own"
+	wrongAnswer           = "answer incomplete or to another request"
 	wrongRuns             = "endpoints ran a stage the wrong number of times"
-	wrongOutcome          = "another entry tells another outcome"
-	incompleteExplanation = "the account is wrong or has gaps"
+	wrongOutcome          = "another entry reports another outcome"
+	incompleteExplanation = "the explanation is wrong or has gaps"
 )
 
-// sent is one request and what came back.
+// request is one request and its reply.
 type request struct {
 	pipeline string
 	account  string
@@ -44,7 +45,7 @@
 	reply    *harness.Reply
 }
 
-// path is a fleet and what was sent to it.
+// pathTest is a fleet and all requests that were sent to it.
 type pathTest struct {
 	failures
 	t        *testing.T
@@ -52,18 +53,18 @@
 	requests []*request
 }
 
-// TestEveryPipelineAnswers is the whole path: a caller of any account sends to
-// any entry, each stage runs on an endpoint of its pool in one of three failure
-// domains, and the answer is the one that this input must have. Whatever is
-// answered can be accounted for afterwards: what the agents say ran is what
-// the endpoints counted.
+// TestEveryPipelineAnswers tests the whole path of requests in each example
+// deployment: callers of any client account send to any entry, each stage runs on an
+// endpoint of its pool in one of three failure domains, and the answer must be the
+// expected one for the input. Afterwards the runs that agents recorded must agree with
+// the endpoints' counters.
 func TestEveryPipelineAnswers(t *testing.T) {
 	for _, deployment := range examples.Names() {
 		t.Run(deployment, func(t *testing.T) {
-			// Some forty processes with the race detector on a busy machine of a
-			// dozen cores stand still for more than a second now and then,
-			// which they take for a pause and drop their connections. So
-			// these run without it; the other tests have it.
+			// About forty processes with the race detector, on a busy machine of a
+			// dozen cores, sometimes get no processor time for more than a second,
+			// treat that as a pause and drop their connections. So this test runs
+			// without the race detector; the other tests run with it.
 			p := &pathTest{t: t, fleet: harness.Start(t, harness.Config{Deployment: deployment, LogLevel: "warn", Plain: true})}
 			defer p.report(t)
 			defer p.logPauses()
@@ -78,8 +79,8 @@
 	}
 }
 
-// sendBurst sends requests of a pipeline all at once, through both entries and
-// from every account that may.
+// sendBurst sends requests of a pipeline at the same time, in turn through the entries
+// and from every client account that may use the pipeline.
 func (p *pathTest) sendBurst(pipeline *bundle.Pipeline) {
 	accounts := allowedAccounts(p.fleet.Bundle, pipeline.Name)
 	var wg sync.WaitGroup
@@ -100,6 +101,7 @@
 	wg.Wait()
 }
 
+// allowedAccounts returns the names of the client accounts that may use a pipeline.
 func allowedAccounts(b *bundle.Bundle, pipeline string) []string {
 	var names []string
 	for _, a := range b.Accounts {
@@ -110,8 +112,8 @@
 	return names
 }
 
-// checkAnswers finds each answer whole and its own: the output follows from
-// the input alone, so any mixture of two requests shows.
+// checkAnswers checks that each answer is complete and belongs to its request. The
+// output depends only on the input, so any mix-up of requests shows.
 func (p *pathTest) checkAnswers() {
 	answered := make(map[string]int)
 	for _, s := range p.requests {
@@ -135,6 +137,7 @@
 	p.t.Logf("answered of %d requests of each pipeline: %v", requestsPerPipeline, answered)
 }
 
+// stages returns the names of the stages of a request's pipeline.
 func (p *pathTest) stages(s *request) []string {
 	var names []string
 	for _, stage := range p.fleet.Bundle.Pipeline(s.pipeline).Stages {
@@ -143,8 +146,8 @@
 	return names
 }
 
-// doneStages lists the stages that an answer names as done, in order. Both
-// attempts of a hedged stage may be.
+// doneStages returns the stages that an answer lists as done, in order and each once:
+// both attempts of a hedged stage may be done.
 func doneStages(a *api.Answer) []string {
 	var done []string
 	for _, run := range a.Stages {
@@ -155,19 +158,19 @@
 	return slices.Compact(done)
 }
 
-// tellPauses shows whether the machine stopped processes for a while, which
-// explains calls that got no answer.
+// logPauses logs which processes detected a pause, which explains calls without an
+// answer.
 func (p *pathTest) logPauses() {
 	for _, process := range p.fleet.Processes() {
 		if process.LogHas(`"event":"paused"`) {
-			p.t.Logf("the machine stopped %s for more than a second", process.Name)
+			p.t.Logf("%s detected a pause of more than a second", process.Name)
 		}
 	}
 }
 
-// checkRuns compares with the endpoints' own counters: each stage of each
-// answered request ran, an unrepeatable one once, and others oftener only as
-// far as the retry budget pays for second attempts. Nothing that was refused ran.
+// checkRuns compares the replies with the endpoints' counters: each stage of an
+// answered request ran, an unrepeatable one exactly once, others more than once only
+// within the retry budget. No stage of a refused request ran.
 func (p *pathTest) checkRuns() {
 	runs := p.fleet.StageRuns()
 	wanted, extra := 0, 0
@@ -188,14 +191,15 @@
 			}
 		}
 	}
-	p.t.Logf("%d stages to run, %d runs more than that", wanted, extra)
-	// The budget is for each entry and pool and has a reserve: twice is ample.
+	p.t.Logf("%d stages to run, %d additional runs", wanted, extra)
+	// The budget applies to each entry and pool and has a reserve, so twice the budget
+	// is allowed in total.
 	if float64(extra) > 2*p.fleet.Bundle.Policy.RetryBudget*float64(wanted) {
 		p.add(wrongRuns, "%d runs for %d stages", wanted+extra, wanted)
 	}
 }
 
-// checkOutcomes asks the other entry what became of each request.
+// checkOutcomes checks that the other entry reports the same outcome of each request.
 func (p *pathTest) checkOutcomes() {
 	for _, s := range p.requests {
 		other := (s.entry + 1) % len(p.fleet.Entries())
@@ -206,8 +210,8 @@
 	}
 }
 
-// checkAccounts reads the accounts of a share of the requests until all parts
-// agree with the endpoints' counters; the loser of a hedge may still be on its way.
+// checkExplanations reads the explanations of one in explainEvery requests until they
+// agree with the endpoints' counters; the losing attempt of a hedge may still run.
 func (p *pathTest) checkExplanations() {
 	for i, s := range p.requests {
 		if i%explainEvery != 0 || s.reply.Answer == nil {
@@ -237,16 +241,18 @@
 	return p.compareRuns(s, counts)
 }
 
-// account is what first-hand records say: the agents' of stages, by stage, and
-// the entry's of the outcome.
+// runCounts sums up the records that processes hold of their own work: those of agents
+// on runs, by stage, and those of the entry on the outcome.
 type runCounts struct {
 	started map[string]int
 	done    map[string]int
-	// stopped are runs that the agent had begun to write and then gave up.
+	// stopped counts the runs that the agent had begun to write and then gave up.
 	stopped map[string]int
 	finals  []api.Outcome
 }
 
+// readRecords counts the records of an explanation, or returns an error if parts are
+// missing.
 func readRecords(e *entry.Explanation) (*runCounts, error) {
 	counts := &runCounts{started: make(map[string]int), done: make(map[string]int), stopped: make(map[string]int)}
 	for _, part := range e.Parts {
@@ -260,7 +266,8 @@
 	return counts, nil
 }
 
-// add counts a record that its own process shows; others hold copies.
+// add counts a record if the process that returned it also wrote it; others hold
+// copies.
 func (a *runCounts) add(r *ledger.Record, process, issuer string) {
 	byAgent := process == r.Process && process == r.Endpoint
 	switch {
@@ -275,6 +282,7 @@
 	}
 }
 
+// compareRuns compares the counts of a request's records with the endpoints' counters.
 func (p *pathTest) compareRuns(s *request, counts *runCounts) error {
 	if !slices.Equal(counts.finals, []api.Outcome{api.OutcomeAnswered}) {
 		return errorx.IllegalState.New("final records %v", counts.finals)
@@ -282,8 +290,8 @@
 	runs := p.fleet.StageRuns()
 	for _, stage := range p.stages(s) {
 		n := runs[stage][s.marker]
-		// The loser of a hedge may be stopped before the endpoint has read it;
-		// the agent cannot know, and says that it may have run.
+		// The losing attempt of a hedge may be stopped before the endpoint has read
+		// it. The agent cannot know, and records that it may have run.
 		atMost, atLeast := counts.started[stage], counts.started[stage]-counts.stopped[stage]
 		if n > atMost || n < atLeast || counts.done[stage] < 1 || counts.done[stage] > n {
 			return errorx.IllegalState.New("stage %s ran %d times; agents say %d started, %d done, %d stopped",
--- a/integration/placement_test.go
+++ b/integration/placement_test.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	// baseModel is the one that the pipelines of the example need.
+	// baseModel is the model that the pipelines of the example need.
 	baseModel = "fitting-notes-13b"
 	oldModel  = "old-model"
 	newModel  = "new-model"
-	// shortStop is long enough for the agent to notice, and shorter than its
-	// patience with a connection.
+	// agentPause is long enough for the agent to detect the pause, and shorter than the
+	// time after which it gives up a connection.
 	agentPause = 1400 * time.Millisecond
-	// loadsPerMinute is the pace of one load a second.
+	// loadsPerMinute is a rate of one load a second.
 	loadsPerMinute = 60
 )
 
-// modelsHeld returns what an engine says that it holds.
+// loadedModels returns the models that an engine reports as loaded.
 func loadedModels(t *testing.T, e *harness.Endpoint) ([]string, error) {
 	client, err := endpoint.New(string(bundle.ProtocolEngine), e.URL())
 	if err != nil {
@@ -45,18 +45,19 @@
 	return h.Models, err
 }
 
+// awaitModel waits until an engine has loaded a model.
 func awaitModel(t *testing.T, e *harness.Endpoint, model string) {
 	t.Helper()
 	harness.Wait(t, waitTimeout, func() error {
 		models, err := loadedModels(t, e)
 		if err == nil && !slices.Contains(models, model) {
-			err = errorx.IllegalState.New("%s holds %v", e.Name, models)
+			err = errorx.IllegalState.New("%s has loaded %v", e.Name, models)
 		}
 		return err
 	})
 }
 
-// withModels names the models of the engines.
+// bundleWithModels returns a bundle with the version and these models of the engines.
 func bundleWithModels(fleet *harness.Fleet, version uint64, models ...string) []byte {
 	return fleet.YAML(func(b *bundle.Bundle) {
 		b.Version = version
@@ -64,22 +65,24 @@
 	})
 }
 
-// orderLine is a log line on an order to an engine.
+// orderLine is a log line of an agent's controller about an order to its engine.
 type orderLine struct {
 	Message  string `json:"message"`
 	Process  string `json:"process"`
 	Endpoint string `json:"endpoint"`
 	Order    string `json:"order"`
 	Model    string `json:"model"`
-	// Error says why the order was not given.
+	// Error says why the order was not sent.
 	Error string `json:"error"`
 }
 
+// Messages of order lines: the decision on an order, and its result.
 const (
 	decisionMessage = "placement"
 	orderMessage    = "order"
 )
 
+// orderLines returns the order lines with the message in the log of a process.
 func orderLines(p *harness.Process, message string) []orderLine {
 	var list []orderLine
 	for text := range bytes.Lines(p.Log()) {
@@ -91,10 +94,11 @@
 	return list
 }
 
-// Six engines come up without the model that the bundle names, all at the same
-// moment. If each loaded at once, the weight store would turn most of them away.
-// The loads come one by one at the bundle's pace, one for each engine, each from
-// the one agent beside it and with a log line on the decision.
+// TestModelLoadsKeepToTheRate guards against model loads that overload the weight
+// store. Six engines start at the same time without the model that the bundle names.
+// If all loaded at once, the store would reject most of them. The loads must come one
+// by one at the bundle's rate, one for each engine, ordered by the agent of the
+// engine and with a log line for the decision.
 func TestModelLoadsKeepToTheRate(t *testing.T) {
 	const engines = 6
 	began := time.Now()
@@ -129,11 +133,12 @@
 	}
 	last := loads[len(loads)-1].Sub(loads[0])
 	t.Logf("%d loads, %v from the first to the last, %v after the start", len(loads), last, loads[len(loads)-1].Sub(began))
-	// Five intervals lie between six loads; a load may be late within its own.
+	// There are five intervals between six loads; a load may be late within its own.
 	assert.Assert(t, last >= (engines-2)*time.Minute/loadsPerMinute, "%v from the first load to the last", last)
 }
 
-// engineFleet is one engine behind a gate, through which its agent reaches it.
+// engineFleet starts a fleet with one engine, and a gate through which the agent
+// reaches the engine.
 func engineFleet(t *testing.T, ignoreFence bool) (*harness.Fleet, *harness.Gate) {
 	gate := harness.NewGate(t)
 	fleet := harness.Start(t, harness.Config{
@@ -165,10 +170,11 @@
 	})
 }
 
-// An agent decides on an order and is stopped before it has a connection to
-// write it to. Meanwhile the bundle changes, so that the order is wrong. The
-// connection is there when the agent wakes; the engine does not check fencing
-// numbers. The agent itself holds the order back, and obeys the new bundle.
+// TestWokenAgentWithholdsStaleOrder guards against outdated orders after a freeze. An
+// agent decides on an order and is frozen before it has a connection to write it to.
+// Meanwhile the bundle changes, so that the order is wrong. The connection is ready
+// when the agent wakes, and the engine does not check fencing numbers. The agent itself
+// must withhold the order and follow the new bundle.
 func TestWokenAgentWithholdsStaleOrder(t *testing.T) {
 	fleet, gate := engineFleet(t, true)
 	agent, engine := fleet.Agent(engineName), fleet.Endpoint(engineName)
@@ -179,25 +185,26 @@
 	stopped := time.Now()
 	gate.Open()
 	fleet.Publish(bundleWithModels(fleet, 3, baseModel, newModel))
-	// The kernel goes on connecting for the stopped process.
+	// The kernel completes the connection of the frozen process.
 	harness.Wait(t, waitTimeout, gate.Connected)
 	waitUntil(stopped, agentPause)
 	agent.Cont()
 	awaitModel(t, engine, newModel)
-	assert.Equal(t, engine.Counts().OrdersToLoad, 1, "the old order was given too")
+	assert.Equal(t, engine.Counts().OrdersToLoad, 1, "the old order was sent too")
 	withheld := slices.DeleteFunc(orderLines(agent, orderMessage), func(l orderLine) bool { return l.Error == "" })
 	assert.Equal(t, len(withheld), 1)
-	t.Logf("held back: %s", withheld[0].Error)
+	t.Logf("withheld: %s", withheld[0].Error)
 	models, err := loadedModels(t, engine)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, models, []string{baseModel, newModel})
 }
 
-// An agent has written an order, and the network holds it back; the agent is
-// stopped and its VM is replaced. The successor has given orders under a newer
-// bundle when the old one arrives. An engine that checks fencing numbers refuses
-// it. One that does not obeys it: nobody is left who could hold it back, and
-// the superfluous model stays. That is what remains possible.
+// TestDelayedOrderIsFenced guards against old orders that arrive late. An agent has
+// written an order, which the network delays; the agent is frozen and its VM is
+// replaced. The successor has sent orders under a newer bundle when the old order
+// arrives. An engine that checks fencing numbers refuses it. One that does not check
+// them obeys it and keeps an unneeded model, because no process can withhold the order
+// any more; this case remains possible.
 func TestDelayedOrderIsFenced(t *testing.T) {
 	for _, ignoreFence := range []bool{false, true} {
 		t.Run(fmt.Sprintf("ignoreFence=%v", ignoreFence), func(t *testing.T) {
@@ -235,9 +242,9 @@
 	}
 }
 
-// An engine's VM leaves the fleet and the engine loses its models. The agent
-// there gives no more orders; its successor at the engine does, so that no
-// engine has two givers of orders.
+// TestLeavingAgentGivesNoOrders guards against engines with two controllers. An
+// engine's VM leaves the fleet, and the bundle then names another model. The agent of
+// the leaving VM must send no more orders; only its successor at the engine does.
 func TestLeavingAgentGivesNoOrders(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools:  map[string]int{poolEngines: 1},
@@ -249,14 +256,14 @@
 	harness.Wait(t, waitTimeout, func() error { return fleet.Unusable(0, engineName) })
 	fleet.Publish(bundleWithModels(fleet, 2, baseModel, newModel))
 	harness.Wait(t, waitTimeout, func() error { return fleet.InForce(2) })
-	// Three turns of the pace pass.
+	// Wait for the time of three loads.
 	waitUntil(time.Now(), 3*time.Minute/loadsPerMinute)
 	assert.Equal(t, len(orderLines(leaving, decisionMessage)), 0)
 	old := fleet.Replace(engineName)
 	awaitModel(t, fleet.Endpoint(engineName), newModel)
 	assert.Equal(t, len(orderLines(old, decisionMessage)), 0)
-	// The agent writes the line when the engine has answered, which holds the
-	// model a moment before.
+	// The agent writes the line when the engine has answered, shortly after the
+	// engine reports the model as loaded.
 	testwait.For(t, waitTimeout, func() bool { return len(orderLines(fleet.Agent(engineName), orderMessage)) > 0 })
 	assert.Equal(t, len(orderLines(fleet.Agent(engineName), orderMessage)), 1)
 }
--- a/integration/poison_test.go
+++ b/integration/poison_test.go
@@ -17,25 +17,28 @@
 const (
 	poolEngines   = "fitting-engines"
 	pipelineNotes = "fitting-notes"
-	// poison is in the input that crashes whatever engine runs it.
-	poison = "poison"
-	// resends is how often its caller sends it, one after another.
+	// crashMarker is the marker of the input that crashes each engine that runs it.
+	crashMarker = "poison"
+	// crashSubmissions is how often its caller submits it, one after another.
 	crashSubmissions = 30
-	// atOnce is the longest that a refusal without a run may take; the machine
-	// is shared.
+	// maxRefusalTime bounds the time of a refusal without a run. It is long because
+	// the test machine is shared.
 	maxRefusalTime = time.Second
 )
 
-// A caller's request crashes each engine that runs it. The caller sends it again
-// and again, through both entries in turn. Each crash takes the engine's other
-// calls along. The crashes end at a stated number; everybody else is answered,
-// and the caller is told at once when to come back.
+// TestCrashingRequestIsStopped guards against a request that crashes one engine after
+// the other. Its caller submits it repeatedly through both entries in turn, and each
+// crash loses the engine's other calls. The number of crashes must stay within the
+// limit; all other requests must be answered, and the caller must be refused at once
+// with Retry-After.
 func TestCrashingRequestIsStopped(t *testing.T) {
 	for _, partitioned := range []bool{false, true} {
 		t.Run(fmt.Sprintf("parted=%v", partitioned), func(t *testing.T) { testCrashingRequest(t, partitioned) })
 	}
 }
 
+// testCrashingRequest runs the test, with the entries cut off from each other if
+// partitioned is set.
 func testCrashingRequest(t *testing.T, partitioned bool) {
 	fleet := harness.Start(t, harness.Config{
 		Pools:      map[string]int{"encoders": 1, "retrievers": 1, poolEngines: 6},
@@ -44,7 +47,7 @@
 	if partitioned {
 		fleet.Link("entry-1", "entry-2").Cut()
 	}
-	crashOn := poison
+	crashOn := crashMarker
 	for _, e := range fleet.PoolEndpoints(poolEngines) {
 		e.Apply(fake.Control{CrashOn: &crashOn})
 	}
@@ -54,18 +57,19 @@
 
 	var last *harness.Reply
 	for i := range crashSubmissions {
-		last = fleet.Send(t.Context(), i%2, plainCall(pipelineNotes)(poison))
+		last = fleet.Send(t.Context(), i%2, plainCall(pipelineNotes)(crashMarker))
 		assert.NilError(t, last.Err)
 		assert.Assert(t, last.Outcome() != api.OutcomeAnswered, "%s", last.Body)
 	}
-	// Package suspect states the bound: the policy's limit and the copies that
-	// another entry began before it heard; for each part if the entries are parted.
+	// The bound is that of package suspect: the policy's limit, and the runs that
+	// other entries started before they learned of the crashes; with partitioned
+	// entries, the policy's limit for each of them.
 	limit := fleet.Bundle.Policy.CrashLimit + len(fleet.Entries()) - 1
 	if partitioned {
 		limit = fleet.Bundle.Policy.CrashLimit * len(fleet.Entries())
 	}
 	crashes := countCrashes(fleet)
-	t.Logf("%d sendings, %d crashes, at most %d allowed; the last was refused after %v", crashSubmissions, crashes, limit, last.Took)
+	t.Logf("%d submissions, %d crashes, at most %d allowed; the last was refused after %v", crashSubmissions, crashes, limit, last.Took)
 	assert.Assert(t, crashes >= 1 && crashes <= limit, "%d crashes", crashes)
 
 	assert.Equal(t, last.Outcome(), api.OutcomeRefused, "%s", last.Body)
@@ -80,31 +84,32 @@
 	assert.Equal(t, countCrashes(fleet), crashes, "crashes after the refusal")
 }
 
-// The policy allows one attempt, so that each sending of the request that crashes
-// engines crashes one, after its earlier stages have succeeded. These
-// successes say nothing of the stage that crashes: the crashes of one sending
-// and the next must add up, or the caller could go on for ever.
+// TestCrashesAddUpOverSubmissions guards against a crash count that successful stages
+// reset. The policy allows one attempt, so each submission of the crashing request
+// crashes one engine, after its earlier stages have succeeded. These successes say
+// nothing about the stage that crashes: crashes must add up over submissions, or the
+// caller could go on for ever.
 func TestCrashesAddUpOverSubmissions(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{"encoders": 1, "retrievers": 1, poolEngines: 2},
 		Edit:  func(b *bundle.Bundle) { b.Policy.MaxAttempts = 1 },
 	})
-	crashOn := poison
+	crashOn := crashMarker
 	for _, e := range fleet.PoolEndpoints(poolEngines) {
 		e.Apply(fake.Control{CrashOn: &crashOn})
 	}
 	for range crashSubmissions {
 		harness.Wait(t, waitTimeout, func() error { return anyUsable(t, fleet, poolEngines) })
-		reply := fleet.Send(t.Context(), 0, plainCall(pipelineNotes)(poison))
+		reply := fleet.Send(t.Context(), 0, plainCall(pipelineNotes)(crashMarker))
 		assert.NilError(t, reply.Err)
 		assert.Assert(t, reply.Outcome() != api.OutcomeAnswered, "%s", reply.Body)
 	}
 	crashes := countCrashes(fleet)
-	t.Logf("%d sendings, %d crashes", crashSubmissions, crashes)
+	t.Logf("%d submissions, %d crashes", crashSubmissions, crashes)
 	assert.Assert(t, crashes >= 1 && crashes <= fleet.Bundle.Policy.CrashLimit, "%d crashes", crashes)
 }
 
-// anyUsable returns nil if the first entry would send work to some endpoint of a pool.
+// anyUsable returns nil if the first entry regards an endpoint of the pool as usable.
 func anyUsable(t *testing.T, fleet *harness.Fleet, pool string) error {
 	list, err := fleet.Status(t.Context(), 0)
 	if err != nil {
@@ -118,6 +123,7 @@
 	return fmt.Errorf("no endpoint of %s is up", pool)
 }
 
+// countCrashes returns the number of crashes of all engines.
 func countCrashes(fleet *harness.Fleet) int {
 	n := 0
 	for _, e := range fleet.PoolEndpoints(poolEngines) {
--- a/integration/pool_away_test.go
+++ b/integration/pool_away_test.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// awayMS is for how long all engines of the pool are away, in milliseconds.
+	// outageMS is how long all engines of the pool are down, in milliseconds.
 	outageMS = 200
-	// outages is how often, outageEvery how far apart.
+	// outages is the number of outages, outageInterval the time from one to the next.
 	outages        = 5
 	outageInterval = 2 * time.Second
 	poolCallers    = 12
 )
 
-// TestBegunRequestsOutliveTheirPool guards against requests that are cut short
-// with seconds left because every endpoint of a pool was away for a moment.
+// TestBegunRequestsOutliveTheirPool guards against requests that are cut short with
+// seconds left because every endpoint of a pool was down for a moment.
 func TestBegunRequestsOutliveTheirPool(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{"encoders": 1, "retrievers": 1, poolEngines: 3},
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -18,14 +18,15 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// inForceLimit is the time within which a new version is in force everywhere.
+// inForceLimit is the time within which a new version must be in force everywhere.
 const inForceLimit = 5 * time.Second
 
-// peerDelay is how much slower, each way, a fresh process's peers answer than
-// the configuration service.
+// peerDelay is the delay in each direction to the peers of a new process, which makes
+// them answer later than the configuration service.
 const peerDelay = 150 * time.Millisecond
 
-// described returns a bundle with the version and a text that tells it apart.
+// describedBundle returns a bundle with the version and a description that identifies
+// it.
 func describedBundle(fleet *harness.Fleet, version uint64, text string) []byte {
 	return fleet.YAML(func(b *bundle.Bundle) {
 		b.Version = version
@@ -33,11 +34,13 @@
 	})
 }
 
+// publish stores a signed bundle in the configuration service.
 func publish(fleet *harness.Fleet, signed []byte) {
 	fleet.Platform.Config.Publish(confsvc.ValueBundle, signed)
 }
 
-// heads returns what the named processes have in force, as told through an entry.
+// bundleHeads returns the bundles that the named processes have in force, as reported
+// by an entry, or an error if one of them is missing.
 func bundleHeads(t *testing.T, fleet *harness.Fleet, entry int, names []string) (map[string]wire.BundleHead, error) {
 	list, err := fleet.Status(t.Context(), entry)
 	if err != nil {
@@ -55,8 +58,8 @@
 	return found, nil
 }
 
-// awaitVersion waits until the named processes have the version in force, and
-// tells how long it took.
+// awaitVersion waits until the named processes have the version in force, and returns
+// how long it took.
 func awaitVersion(t *testing.T, fleet *harness.Fleet, entry int, version uint64, limit time.Duration, names []string) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -75,6 +78,7 @@
 	return time.Since(began)
 }
 
+// namesOf returns the names of all processes of the fleet but some.
 func namesOf(fleet *harness.Fleet, except ...string) []string {
 	var names []string
 	for _, p := range fleet.Processes() {
@@ -85,7 +89,7 @@
 	return names
 }
 
-// bundleLine is a log line on what became of an offered bundle.
+// bundleLine is a log line on the result of an offered bundle.
 type bundleLine struct {
 	Message string                `json:"message"`
 	Result  bundle.AdoptionResult `json:"result"`
@@ -93,6 +97,7 @@
 	Source  string                `json:"source"`
 }
 
+// bundleLines returns the bundle lines in the log of a process.
 func bundleLines(p *harness.Process) []bundleLine {
 	var list []bundleLine
 	for text := range bytes.Lines(p.Log()) {
@@ -104,7 +109,8 @@
 	return list
 }
 
-// logged tells how many processes have logged the result of a value that they read.
+// countLogged returns how many processes have logged the result for a value that they
+// read from the platform.
 func countLogged(fleet *harness.Fleet, result bundle.AdoptionResult) int {
 	n := 0
 	for _, p := range fleet.Processes() {
@@ -128,8 +134,8 @@
 	})
 }
 
-// neverBack finds that no process put an older version in force, over all its
-// runs: its successor on the same VM counts as the same.
+// checkVersionsIncrease checks that no process put an older version in force. The
+// restarts of a process on its VM count as one process.
 func checkVersionsIncrease(t *testing.T, fleet *harness.Fleet) {
 	t.Helper()
 	for _, p := range fleet.Processes() {
@@ -144,16 +150,17 @@
 	}
 }
 
-// An operator publishes a version. All processes have it in force within five
-// seconds; and so they have the next one when five of eight processes can no
-// longer reach the platform and must get it from their peers.
+// TestBundleIsInForceWithinSeconds guards against slow rollouts. All processes must
+// have a published version in force within five seconds, and also the next one when
+// five of eight processes can no longer reach the platform and must get it from their
+// peers.
 func TestBundleIsInForceWithinSeconds(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{Pools: map[string]int{poolCatalogue: 6}, ProxyPlatform: true})
 	all := namesOf(fleet)
 	fleet.Publish(describedBundle(fleet, 2, "all reach the platform"))
 	t.Logf("version 2 in force on %d processes after %v", len(all), awaitVersion(t, fleet, 0, 2, inForceLimit, all))
 
-	// One failure domain of three keeps the platform.
+	// One failure domain of three can still reach the platform.
 	for _, name := range []string{"entry-2", "catalogue-2", "catalogue-3", "catalogue-5", "catalogue-6"} {
 		fleet.PlatformLink(name).Cut()
 	}
@@ -162,10 +169,11 @@
 	checkVersionsIncrease(t, fleet)
 }
 
-// An agent is cut off and an entry is stopped while a new version comes in force
-// on the others. Then the configuration service falls back to the old version,
-// and a process is replaced, which reads the old version from it. Neither it, nor
-// those that join again, nor those that were there go back to it.
+// TestBundleNeverGoesBack guards against processes that return to an older bundle. An
+// agent is cut off and an entry is frozen while a new version comes into force on the
+// others. Then the configuration service returns to the old version, and a restarted
+// process reads it there. Neither that process, nor those that rejoin, nor the others
+// may put the old version in force again.
 func TestBundleNeverGoesBack(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{poolCatalogue: 3}, ProxyPeers: true, ProxyPlatform: true,
@@ -183,7 +191,7 @@
 	awaitVersion(t, fleet, 0, 3, inForceLimit, rest)
 
 	publish(fleet, old)
-	// The service answers sooner than the peers.
+	// The configuration service answers sooner than the peers.
 	toPeers := fleet.Link("entry-1", "catalogue-1")
 	fresh := fleet.Agent("catalogue-1")
 	fresh.Kill()
@@ -200,10 +208,11 @@
 	checkVersionsIncrease(t, fleet)
 }
 
-// Two operators publish one version with different contents, and each half of
-// a parted fleet sees another one. When the halves meet, all processes choose
-// the same content, and those that give theirs up say loudly that there were two;
-// a higher version ends it.
+// TestTwoContentsOfOneVersionConverge guards against a fleet that stays divided. Two
+// operators publish one version with different contents, and each half of a
+// partitioned fleet sees another one. When the partition heals, all processes must
+// choose the same content, those that replace theirs must log the conflict as an
+// error, and a higher version must end the conflict.
 func TestTwoContentsOfOneVersionConverge(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{poolCatalogue: 2}, ProxyPeers: true, ProxyPlatform: true,
@@ -235,7 +244,7 @@
 	checkVersionsIncrease(t, fleet)
 }
 
-// oneContent returns nil if all processes have the same bundle in force.
+// checkOneContent returns nil if all processes have the same bundle in force.
 func checkOneContent(t *testing.T, fleet *harness.Fleet) error {
 	found, err := bundleHeads(t, fleet, 0, namesOf(fleet))
 	if err != nil {
@@ -251,8 +260,8 @@
 	return nil
 }
 
-// conflictLogged returns nil if at least n processes tell of the conflict as an
-// error. Those of the half whose content goes have seen both.
+// checkConflictLogged returns nil if at least n processes have logged the conflict as
+// an error. The processes of the half whose content is replaced have seen both.
 func checkConflictLogged(fleet *harness.Fleet, n int) error {
 	logged := 0
 	for _, p := range fleet.Processes() {
@@ -261,15 +270,15 @@
 		}
 	}
 	if logged < n {
-		return errorx.IllegalState.New("%d of %d processes tell of the conflict", logged, n)
+		return errorx.IllegalState.New("%d of %d processes have logged the conflict", logged, n)
 	}
 	return nil
 }
 
-// Somebody puts a value with a stranger's signature into the configuration
-// service; later, readers see a new value half written. Nothing changes, also
-// for a process that starts at that time; the whole value is in force soon after
-// it can be read.
+// TestBadValuesChangeNothing guards against invalid values of the configuration
+// service: a bundle signed with an unknown key, and later a new value that readers see
+// half written. Neither may change the bundle in force, also not of a process that
+// starts meanwhile. The complete value must be in force soon after it can be read.
 func TestBadValuesChangeNothing(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{Pools: map[string]int{poolCatalogue: 2}})
 	all := namesOf(fleet)
@@ -286,28 +295,29 @@
 	half, whole := true, false
 	fleet.Platform.Config.Apply(fake.ConfigControl{HalfWritten: &half})
 	fleet.Publish(describedBundle(fleet, 3, "whole"))
-	// So few processes all watch.
+	// In so small a fleet all processes watch the configuration service.
 	awaitLogged(t, fleet, bundle.ResultMalformed, len(all))
 	fleet.Agent("catalogue-1").Kill()
 	fleet.Agent("catalogue-1").Restart()
 	awaitVersion(t, fleet, 0, 2, waitTimeout, all)
 
 	fleet.Platform.Config.Apply(fake.ConfigControl{HalfWritten: &whole})
-	t.Logf("in force %v after the whole value could be read", awaitVersion(t, fleet, 0, 3, inForceLimit, all))
+	t.Logf("in force %v after the complete value could be read", awaitVersion(t, fleet, 0, 3, inForceLimit, all))
 	checkVersionsIncrease(t, fleet)
 }
 
 const (
 	// platformWindow is how long a fleet's reads of the platform are counted.
 	platformWindow = 8 * time.Second
-	// platformGrowth is the most that the reads of a fleet four times as large
-	// may have grown.
+	// platformGrowth is the factor by which the reads of a fleet four times as large
+	// may grow at most.
 	platformGrowth = 3.0
 )
 
-// Each process reads the platform, whose limits grow more slowly than the
-// fleet. The reads of 10 and of 40 processes are counted at the stand-in: when
-// they start all at once, in steady state, and while a new version spreads.
+// TestPlatformReadsGrowSlowly guards against fleets that exceed the platform's limits,
+// which grow more slowly than the fleet. It counts the reads of 10 and of 40 processes
+// at the fake platform: during a simultaneous start, in steady state, and while a new
+// version spreads.
 func TestPlatformReadsGrowSlowly(t *testing.T) {
 	var rates []float64
 	for _, size := range []struct{ entries, agents int }{{2, 8}, {5, 35}} {
@@ -319,6 +329,7 @@
 	assert.Assert(t, rates[1] < platformGrowth*rates[0], "%v", rates)
 }
 
+// platformRate returns the reads of the platform per second in steady state.
 func platformRate(t *testing.T, entries, agents int) float64 {
 	fleet := harness.Start(t, harness.Config{
 		Pools: map[string]int{poolCatalogue: agents}, Entries: entries, Plain: true, LogLevel: "warn",
--- a/integration/scenarios_test.go
+++ b/integration/scenarios_test.go
@@ -17,19 +17,20 @@
 	scenarioSeed     = 20260301
 	scenarioDuration = 8 * time.Second
 	scenarioWarmup   = 2 * time.Second
-	// scenarioRate is the capacity by which the tool sets its rate, in requests
-	// a second: low enough that this machine is not the limit.
+	// scenarioRate is the capacity from which the load tool derives its rate, in
+	// requests per second: low enough that the test machine is not the limit.
 	scenarioRate = 120
 	slowFactor   = 10
-	// attainedWithFault is the aim with one endpoint bad: at most 2 in 100 lost.
+	// minAttainment is the smallest share of requests answered in time, also with a
+	// bad endpoint: at most 2 in 100 may be lost.
 	minAttainment = 0.98
 )
 
-// Callers of all accounts send at a steady rate through both entries, as
-// processes, while nothing is wrong, while one engine turns ten times slower,
-// and while one engine and one encoder die. A bad endpoint shows to a caller as
-// a late answer or none; the load tool counts those in time, and compares each
-// answer with the one that its input must have.
+// TestScenariosWithProcesses guards against late or missing answers because of a bad
+// endpoint. The load tool sends at a steady rate from all client accounts through both
+// entries: without a fault, while one engine becomes ten times slower, and while one
+// engine and one encoder are down. It counts the answers in time and compares each
+// with the expected one.
 func TestScenariosWithProcesses(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{Deployment: examples.Brunnhofer, Plain: true, LogLevel: "warn"})
 	var urls []string
@@ -86,6 +87,7 @@
 	}
 }
 
+// wastedShare returns the share of the total cost that was wasted.
 func wastedShare(r *load.Report) float64 {
 	all := r.CostTotal.Useful + r.CostTotal.Wasted
 	if all == 0 {
--- a/integration/stages_test.go
+++ b/integration/stages_test.go
@@ -22,12 +22,12 @@
 	billingPool   = "billing"
 	// frameTimeout leaves time for all three stages.
 	frameTimeout = 3 * time.Second
-	// longCheck leaves time to cut what comes after the check.
+	// slowCheckTime leaves time to cut the links to the next stage during the check.
 	slowCheckTime = 200 * time.Millisecond
 )
 
-// frameFleet starts what a frame order needs: its first stage may be repeated,
-// the workshop's and the bill may not.
+// frameFleet starts the pools of the frame-order pipeline. Its first stage is
+// repeatable, the workshop's and billing are not.
 func frameFleet(t *testing.T, catalogues int, checkTime time.Duration) *harness.Fleet {
 	t.Helper()
 	return harness.Start(t, harness.Config{
@@ -44,7 +44,7 @@
 	})
 }
 
-// verifyStages holds every stage's own count against what callers were told.
+// verifyStages compares the replies with the run counts of every stage.
 func (b *orderChecker) verifyStages() {
 	b.t.Helper()
 	b.verify()
@@ -61,10 +61,10 @@
 	}
 }
 
-// TestEntryKilledInMidPipeline: an entry dies with orders between their stages:
-// some are in the workshop, some billed, some neither. Their callers lose the
-// connection and send again through the other entry. Each gets the answer to its
-// own order, and workshop and billing have worked once for each.
+// TestEntryKilledInMidPipeline guards against lost or repeated stages when an entry
+// is killed with orders in different stages. Their callers lose the connection and
+// submit again through the other entry. Each must get the answer to its own order, and
+// the stages of workshop and billing must have run once for each.
 func TestEntryKilledInMidPipeline(t *testing.T) {
 	b := &orderChecker{t: t, fleet: frameFleet(t, 2, orderTime), pipeline: framePipeline}
 	defer b.report(t)
@@ -100,7 +100,8 @@
 	b.verifyStages()
 }
 
-// persist sends an order through one entry until it is answered.
+// retryUntilAnswered submits an order through one entry until it is answered, at most
+// maxSubmissions times.
 func (b *orderChecker) retryUntilAnswered(o *order, entryIndex int) {
 	for range maxSubmissions {
 		if b.send(b.t.Context(), o, entryIndex, frameTimeout).hasOutcome(api.OutcomeAnswered) {
@@ -109,11 +110,11 @@
 	}
 }
 
-// TestFinishedStageIsFoundAgain: an order is checked against the catalogue, and
-// then its workshop cannot be reached; the caller is told "cut short" and sends
-// again when the way is free. The catalogue's agent still holds the result of the
-// check, and the catalogue is not asked twice. If that agent was started anew, it
-// holds nothing and the check, which may be repeated, runs again.
+// TestFinishedStageIsReused guards against running a finished stage again. After the
+// check of an order against the catalogue its workshop cannot be reached; the caller
+// gets "cut short" and submits again when the links are healed. The catalogue's agent
+// still has the result of the check, which must not run twice. If that agent was
+// restarted, it has lost the result, and the repeatable check runs again.
 func TestFinishedStageIsReused(t *testing.T) {
 	b := &orderChecker{t: t, fleet: frameFleet(t, 1, slowCheckTime), pipeline: framePipeline}
 	defer b.report(t)
@@ -151,7 +152,7 @@
 		}
 		for _, o := range orders {
 			if o.identifiedBy != opaqueKey {
-				// An opaque key is not taken by a workshop's agent this young.
+				// The workshop's agents have not run long enough to accept opaque keys.
 				s := b.send(t.Context(), o, 1, frameTimeout)
 				assert.Equal(t, s.reply.Outcome(), api.OutcomeAnswered, "%s (%s): %s", o.marker, o.identifiedBy, s.reply.Body)
 			}
--- a/integration/stream_test.go
+++ b/integration/stream_test.go
@@ -13,21 +13,23 @@
 	"github.com/mangostage/mangostage/internal/harness"
 )
 
-// streamed is the data of a token event.
+// tokenData is the data of a token event.
 type tokenData struct {
 	Seq  int    `json:"seq"`
 	Text string `json:"text"`
 }
 
+// streamFleet starts the pools of the assistant, with one endpoint each.
 func streamFleet(t *testing.T) *harness.Fleet {
 	return harness.Start(t, harness.Config{
 		Pools: map[string]int{"encoders": 1, "retrievers": 1, "rerankers": 1, "fitting-engines": 1, catalogue: 1},
-		// One attempt, so that each fault reaches the caller.
+		// With one attempt each fault reaches the caller.
 		Edit: func(b *bundle.Bundle) { b.Policy.MaxAttempts = 1 },
 	})
 }
 
-// checkStream finds tokens without a gap, then one final event and nothing behind it.
+// checkStream checks that a stream consists of tokens without a gap and one final
+// event. It returns the text of the tokens.
 func checkStream(t *testing.T, reply *harness.Reply) (text string) {
 	t.Helper()
 	assert.NilError(t, reply.Err)
@@ -46,8 +48,8 @@
 	return text
 }
 
-// A caller that reads tokens as they come has the same text in the end as one
-// that waits, and knows by the last event whether it has all of it.
+// TestStreamEndsWithOneAnswer checks that the tokens of a stream add up to the text of
+// the answer, and that the last event tells whether the text is complete.
 func TestStreamEndsWithOneAnswer(t *testing.T) {
 	fleet := streamFleet(t)
 	for _, pipeline := range []string{assistant, catalogue} {
@@ -66,17 +68,17 @@
 	}
 }
 
-// The engine's stream breaks while the caller reads: it ends, or is cut, in
-// the middle, or skips a token. The caller gets either the whole answer, as
-// when the engine still has the rest, or a problem that names the stages that
-// ran; never half a text as the whole.
+// TestBrokenStreamEndsWithOneEvent guards against partial streams that are reported as
+// complete. The engine's stream ends or is cut in the middle, or has missing or wrong
+// tokens. The caller must get either the complete answer, as when the engine still has
+// the rest, or a problem that names the stages that ran.
 func TestBrokenStreamEndsWithOneEvent(t *testing.T) {
 	fleet := streamFleet(t)
 	for _, fault := range []fake.ReplyFault{
 		fake.ReplyTruncate, fake.ReplyUnclosed, fake.ReplyGap, fake.ReplyReorder, fake.ReplyForeign, fake.ReplyDuplicate,
 	} {
 		t.Run(string(fault), func(t *testing.T) {
-			// A broken reply tells against the engine for a while.
+			// After a broken reply the engine is avoided for a while.
 			fleet.WaitEntry(0, replyTimeout)
 			once := 1
 			fleet.Endpoint("fitting-engines-1").Apply(fake.Control{Reply: &fault, ReplyCount: &once})
@@ -102,8 +104,8 @@
 	}
 }
 
-// The engine fails before the first token: the caller gets a problem document
-// with its HTTP status, as without a stream.
+// TestFailureBeforeTheFirstToken checks that the caller gets a problem document with
+// its HTTP status, as without a stream, if the engine fails before the first token.
 func TestFailureBeforeTheFirstToken(t *testing.T) {
 	fleet := streamFleet(t)
 	always := 1.0
--- a/integration/traffic_test.go
+++ b/integration/traffic_test.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// waitLimit bounds waits for what should come much sooner.
+	// waitTimeout bounds waits for events that are expected much sooner.
 	waitTimeout = 30 * time.Second
-	// balancerPoll is how often the balancer asks an entry whether it is ready.
+	// balancerPoll is how often the load balancer probes whether an entry is ready.
 	balancerPoll = 50 * time.Millisecond
-	// callerPause is between an answer and the same caller's next request.
+	// callerPause is the interval of a caller's requests, unless an answer takes longer.
 	callerPause = 10 * time.Millisecond
 )
 
-// traffic is a steady stream of requests, each sent once, through entries that
-// a balancer finds ready.
+// traffic is a steady stream of requests, each sent once, through the entries that
+// a load balancer has found ready.
 type traffic struct {
 	failures
 	fleet *harness.Fleet
 	stop  context.CancelFunc
 	wg    sync.WaitGroup
 	ready []atomic.Bool
-	// mustAnswer: refusals are not allowed either.
+	// mustAnswer means that refusals are failures too.
 	mustAnswer bool
 
 	sent     atomic.Int64
@@ -38,21 +38,22 @@
 	refused  atomic.Int64
 
 	mu sync.Mutex
-	// ownerless are the keys, which are the markers too, of calls whose owner was away or had
-	// just restarted. Nobody can tell then whether an earlier sending ran.
+	// ownerAwayKeys are the keys, which are also the markers, of calls whose owner was
+	// away or had just restarted, so that it is unknown whether an earlier submission
+	// ran.
 	ownerAwayKeys []string
 }
 
 const (
-	incompleteReply    = "no whole reply"
+	incompleteReply    = "no complete reply"
 	unexpectedOutcome  = "neither answered nor refused"
-	missingRetryAfter  = "refused without a time to return"
-	mismatchedResponse = "the answer is not the request's own"
+	missingRetryAfter  = "refused without Retry-After"
+	mismatchedResponse = "the answer is to another request"
 	ranWithoutOwner    = "ran, although its owner was away"
 )
 
-// startTraffic sends calls of each kind from some callers until stopped. A kind
-// makes a call of a marker.
+// startTraffic starts callers for each kind of call, which send until finish is
+// called. A kind returns the call for a marker.
 func startTraffic(t *testing.T, fleet *harness.Fleet, callers int, kinds ...func(marker string) harness.Call) *traffic {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -69,7 +70,7 @@
 	return tr
 }
 
-// balance follows one entry's word on whether it is ready.
+// balance probes whether one entry is ready until ctx ends.
 func (tr *traffic) balance(ctx context.Context, entry int) {
 	ticker := time.NewTicker(balancerPoll)
 	defer ticker.Stop()
@@ -84,12 +85,13 @@
 	}
 }
 
+// call sends calls as one caller until ctx ends.
 func (tr *traffic) call(ctx context.Context, caller string, call func(string) harness.Call) {
 	ticker := time.NewTicker(callerPause)
 	defer ticker.Stop()
 	for n := 0; ctx.Err() == nil; n++ {
 		if entry, ok := tr.pickEntry(n); ok {
-			// What was begun is waited for although the traffic ends.
+			// A call in flight is not cancelled when the traffic ends.
 			tr.send(context.WithoutCancel(ctx), entry, call(fmt.Sprintf("%s-%d", caller, n)))
 		}
 		select {
@@ -100,7 +102,7 @@
 	}
 }
 
-// choose takes the entries that are ready in turn.
+// pickEntry returns the ready entries in turn, and false if none is ready.
 func (tr *traffic) pickEntry(n int) (int, bool) {
 	for k := range tr.ready {
 		entry := (n + k) % len(tr.ready)
@@ -117,8 +119,9 @@
 	tr.checkReply(call, entry, reply)
 }
 
-// judge complains of anything but the whole right answer, or a refusal that
-// says when to come back.
+// checkReply records a failure unless the reply is the complete expected answer, a
+// refusal with Retry-After or, for a call with a key, an outcome because its owner was
+// away.
 func (tr *traffic) checkReply(call harness.Call, entry int, reply *harness.Reply) {
 	what := fmt.Sprintf("%s %s through entry-%d after %v: status %d, %v, %s", call.Pipeline, call.Input, entry+1,
 		reply.Took, reply.Status, reply.Err, summary(reply))
@@ -147,7 +150,7 @@
 	}
 }
 
-// summary is what matters of a reply's body.
+// summary describes the body of a reply for messages.
 func summary(reply *harness.Reply) string {
 	p := reply.Problem
 	if p == nil {
@@ -160,19 +163,19 @@
 	return text
 }
 
-// ownerAway are the reasons for "unknown" that a call with a key may meet while
-// the one agent that may run it restarts.
+// ownerAwayReasons are the reasons for "unknown" that a call with a key may get while
+// the only agent that may run it restarts.
 var ownerAwayReasons = map[api.Reason]bool{
 	api.ReasonOwnerUnreachable: true,
 	api.ReasonOwnerRestarted:   true,
 }
 
-// end stops the traffic, waits for what is under way and reports.
+// finish stops the traffic, waits for calls in flight and reports failures.
 func (tr *traffic) finish(t *testing.T) {
 	t.Helper()
 	tr.stop()
 	tr.wg.Wait()
-	t.Logf("%d requests sent, %d answered, %d refused, %d without an owner",
+	t.Logf("%d requests sent, %d answered, %d refused, %d with the owner away",
 		tr.sent.Load(), tr.answered.Load(), tr.refused.Load(), len(tr.ownerAwayKeys))
 	for _, marker := range tr.ownerAwayKeys {
 		if n := tr.fleet.Runs(marker); n != 0 {
@@ -182,21 +185,22 @@
 	tr.report(t)
 }
 
-// plainCall is a repeatable call of a pipeline.
+// plainCall returns a kind of repeatable calls of a pipeline.
 func plainCall(pipeline string) func(string) harness.Call {
 	return func(marker string) harness.Call {
 		return harness.Call{Pipeline: pipeline, Input: harness.Marker(marker)}
 	}
 }
 
-// orderCall is an order that its caller would not send again.
+// orderCall returns a kind of orders that callers cannot submit again.
 func orderCall(pipeline string) func(string) harness.Call {
 	return func(marker string) harness.Call {
 		return harness.Call{Pipeline: pipeline, Input: harness.Order(marker)}
 	}
 }
 
-// keyedCall is an order with a fresh idempotency key, which is its marker too.
+// keyedCall returns a kind of orders with a new idempotency key each, which is also
+// the marker.
 func keyedCall(pipeline string) func(string) harness.Call {
 	return func(string) harness.Call {
 		key := harness.NewKey()
@@ -204,6 +208,7 @@
 	}
 }
 
+// answeredSince returns an error until n more requests than before are answered.
 func answeredSince(tr *traffic, before, n int64) error {
 	if got := tr.answered.Load() - before; got < n {
 		return fmt.Errorf("%d answers of %d", got, n)
