--- a/integration/atmostonce_test.go
+++ b/integration/atmostonce_test.go
@@ -208,8 +208,8 @@
 	})
 }
 
-// inject submits orders through both entries at once, injects f before or while they
-// run, heals it, and submits again what is not answered.
+// inject submits orders through all entries at once, injects f before or while they
+// run, heals it, and submits all orders again. It returns the orders.
 func (b *orderChecker) inject(f fault) []*order {
 	var orders []*order
 	for _, by := range dedupIdentifications {
@@ -248,7 +248,7 @@
 }
 
 // submitToAll submits an order through all entries at once, and once more through
-// each in turn until it is answered.
+// each in turn until it is answered. It submits nothing once the key has expired.
 func (b *orderChecker) submitToAll(o *order, first int) {
 	if o.keyExpired() {
 		return
