--- a/internal/harness/build.go
+++ b/internal/harness/build.go
@@ -11,34 +11,36 @@
 	"github.com/joomcode/errorx"
 )
 
-// The names of the binaries.
+// Names of the binaries that the harness starts.
 const (
 	binaryEntry = "mangostage-entry"
 	binaryAgent = "mangostage-agent"
 	binaryFake  = "mangostage-fake"
 )
 
-// BinaryTool is the name of the operator's tool, for Binary.
+// BinaryTool is the name of the operator's command-line tool, for use with Binary.
 const BinaryTool = "mangostage"
 
-// build is the commands built once for the whole test process.
+// build holds the commands of the module, built once per test process.
 type build struct {
+	// race means that the commands are built with the race detector.
 	race bool
 	once sync.Once
-	dir  string
-	err  error
+	// dir is the directory of the binaries.
+	dir string
+	err error
 }
 
 var (
-	raceBuild  = build{race: true}
-	plainBuild = build{}
+	raceBuild   = build{race: true}
+	noRaceBuild = build{}
 )
 
-// Main runs the tests of a package and removes what was built for them. It is
-// called from TestMain.
+// Main runs the tests of a package, removes the binaries built for them and
+// returns the exit code. Call it from TestMain.
 func Main(m *testing.M) int {
 	code := m.Run()
-	for _, b := range []*build{&raceBuild, &plainBuild} {
+	for _, b := range []*build{&raceBuild, &noRaceBuild} {
 		if b.dir != "" {
 			_ = os.RemoveAll(b.dir)
 		}
@@ -46,13 +48,13 @@
 	return code
 }
 
-// Binary returns the path of a command, built with the race detector unless
-// plain is set.
-func Binary(t testing.TB, name string, plain bool) string {
+// Binary returns the path of a command, building all commands on first use. They
+// are built with the race detector unless noRace is set.
+func Binary(t testing.TB, name string, noRace bool) string {
 	t.Helper()
 	b := &raceBuild
-	if plain {
-		b = &plainBuild
+	if noRace {
+		b = &noRaceBuild
 	}
 	b.once.Do(b.run)
 	if b.err != nil {
@@ -81,6 +83,7 @@
 	}
 }
 
+// moduleRoot returns the directory of go.mod.
 func moduleRoot() (string, error) {
 	out, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -19,45 +19,46 @@
 )
 
 const (
-	// operatorName is the operator of the example bundles.
-	operatorName = "operator"
-	idleConns    = 512
-	callTimeout  = 30 * time.Second
-	typeStream   = "text/event-stream"
+	// operatorName is the name of the operator in the example bundles.
+	operatorName      = "operator"
+	maxIdleConns      = 512
+	requestTimeout    = 30 * time.Second
+	contentTypeStream = "text/event-stream"
 )
 
-// newHTTPClient returns a client without redirects and with connections to
-// spare, so that callers do not wait for each other's.
+// newHTTPClient returns a client with a large pool of idle connections, so that
+// concurrent callers rarely have to dial.
 func newHTTPClient() *http.Client {
 	return &http.Client{
-		Timeout:   callTimeout,
-		Transport: &http.Transport{MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConns},
+		Timeout:   requestTimeout,
+		Transport: &http.Transport{MaxIdleConns: maxIdleConns, MaxIdleConnsPerHost: maxIdleConns},
 	}
 }
 
-// Call is one sending of a request.
+// Call is one submission of a request.
 type Call struct {
 	Pipeline string
-	// Account is the client account; empty means the bundle's first.
+	// Account is the client account; empty means the first one of the bundle.
 	Account string
-	// Credential, if set, is sent in place of the account's.
+	// Credential, if set, replaces the credential of the account.
 	Credential string
 	Input      json.RawMessage
-	// Body, if set, is sent in place of Input's.
+	// Body, if set, replaces the body that is made from Input.
 	Body []byte
-	// Key is an idempotency key, HeldID an ID fetched with HoldID.
+	// Key is an idempotency key and HeldID a request ID fetched with HoldID; empty
+	// values are not sent.
 	Key    string
 	HeldID string
-	// Timeout is sent as a header, in whole milliseconds; zero sends none.
+	// Timeout is sent as a header in whole milliseconds; zero sends no header.
 	Timeout time.Duration
-	// Stream asks for server-sent events.
+	// Stream means that the reply is requested as server-sent events.
 	Stream bool
-	// Header is added to the request's.
+	// Header holds additional request headers.
 	Header http.Header
 }
 
-// Reply is what the caller got. If Err is set the connection failed, and the
-// rest is what came before.
+// Reply is what the caller received. If Err is set, the request failed or the
+// reply could not be decoded, and the other fields hold what arrived before.
 type Reply struct {
 	Err     error
 	Status  int
@@ -65,9 +66,10 @@
 	Body    []byte
 	Answer  *api.Answer
 	Problem *api.Problem
-	// Events are those of a stream.
+	// Events holds the events of a streamed reply.
 	Events []Event
-	Took   time.Duration
+	// Took is the time from the start of the request to the end of the reply.
+	Took time.Duration
 }
 
 // Event is one server-sent event.
@@ -76,7 +78,7 @@
 	Data []byte
 }
 
-// Outcome returns the typed outcome, or nothing if none arrived.
+// Outcome returns the outcome of the answer or problem, or "" if none arrived.
 func (r *Reply) Outcome() api.Outcome {
 	switch {
 	case r.Answer != nil:
@@ -87,7 +89,7 @@
 	return ""
 }
 
-// Reason returns a problem's reason.
+// Reason returns the reason of the problem, or "" if there is none.
 func (r *Reply) Reason() api.Reason {
 	if r.Problem == nil {
 		return ""
@@ -95,22 +97,22 @@
 	return r.Problem.Reason
 }
 
-// RequestID returns the ID that the reply carries.
+// RequestID returns the request ID in the reply's header.
 func (r *Reply) RequestID() string { return r.Header.Get(api.HeaderRequestID) }
 
-// oneShot hides the type of a body, so that net/http cannot rewind it: a
-// caller's client that sends by itself a second time would spoil the count of
-// sendings.
-type oneShot struct{ io.Reader }
+// oneShotBody hides the type of a request body so that net/http cannot rewind it
+// and retry the request by itself, which would falsify a test's count of
+// submissions.
+type oneShotBody struct{ io.Reader }
 
-// Send sends a request once, through the entry counted from 0.
+// Send sends a request once through an entry; entryIndex counts from 0.
 func (f *Fleet) Send(ctx context.Context, entryIndex int, call Call) *Reply {
 	body := call.Body
 	if body == nil {
 		body, _ = json.Marshal(api.Request{Input: call.Input})
 	}
 	path := f.entries[entryIndex].URL + "/v1/pipelines/" + call.Pipeline + "/requests"
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, path, oneShot{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, path, oneShotBody{bytes.NewReader(body)})
 	if err != nil {
 		return &Reply{Err: err}
 	}
@@ -128,22 +130,24 @@
 		credential = f.credential(call.Account)
 	}
 	req.Header.Set("Authorization", "Bearer "+credential)
-	setIf(req.Header, api.HeaderIdempotencyKey, call.Key)
-	setIf(req.Header, api.HeaderRequestID, call.HeldID)
+	setIfNotEmpty(req.Header, api.HeaderIdempotencyKey, call.Key)
+	setIfNotEmpty(req.Header, api.HeaderRequestID, call.HeldID)
 	if call.Timeout > 0 {
 		req.Header.Set(api.HeaderTimeout, strconv.FormatInt(call.Timeout.Milliseconds(), 10))
 	}
 	if call.Stream {
-		req.Header.Set("Accept", typeStream)
+		req.Header.Set("Accept", contentTypeStream)
 	}
 }
 
-func setIf(h http.Header, name, value string) {
+func setIfNotEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
+// credential returns the credential of a client account; an empty name means the
+// first account of the bundle.
 func (f *Fleet) credential(account string) string {
 	if account == "" {
 		account = f.Bundle.Accounts[0].Name
@@ -153,29 +157,30 @@
 
 // do sends a request and reads the whole reply.
 func (f *Fleet) do(req *http.Request) *Reply {
-	began := time.Now()
+	start := time.Now()
 	reply := &Reply{Header: make(http.Header)}
 	resp, err := f.http.Do(req)
 	if err != nil {
 		reply.Err = err
-		reply.Took = time.Since(began)
+		reply.Took = time.Since(start)
 		return reply
 	}
 	defer func() { _ = resp.Body.Close() }()
 	reply.Status = resp.StatusCode
 	reply.Header = resp.Header
 	reply.Body, reply.Err = io.ReadAll(resp.Body)
-	reply.Took = time.Since(began)
+	reply.Took = time.Since(start)
 	if err := reply.decode(); err != nil && reply.Err == nil {
 		reply.Err = err
 	}
 	return reply
 }
 
+// decode sets Answer, Problem and Events from the body, by its content type.
 func (r *Reply) decode() error {
-	kind, _, _ := strings.Cut(r.Header.Get("Content-Type"), ";")
-	switch kind {
-	case typeStream:
+	contentType, _, _ := strings.Cut(r.Header.Get("Content-Type"), ";")
+	switch contentType {
+	case contentTypeStream:
 		return r.decodeEvents()
 	case "application/problem+json":
 		return json.Unmarshal(r.Body, &r.Problem)
@@ -204,7 +209,7 @@
 	return nil
 }
 
-// parseEvents reads the complete events of a stream.
+// parseEvents returns the complete events of a stream of server-sent events.
 func parseEvents(body []byte) []Event {
 	var events []Event
 	var current Event
@@ -225,12 +230,12 @@
 	return events
 }
 
-// heldID is the body of the reply to a call that fetches an ID.
-type heldID struct {
+// requestIDReply is the body of the reply from /v1/request-ids.
+type requestIDReply struct {
 	RequestID string `json:"request_id"`
 }
 
-// HoldID fetches a request ID to send with later.
+// HoldID fetches a request ID for a later submission.
 func (f *Fleet) HoldID(ctx context.Context, entryIndex int, account, pipeline string) (string, *Reply) {
 	body, _ := json.Marshal(struct {
 		Pipeline string `json:"pipeline"`
@@ -241,14 +246,14 @@
 	}
 	req.Header.Set("Authorization", "Bearer "+f.credential(account))
 	reply := f.do(req)
-	var held heldID
+	var idReply requestIDReply
 	if reply.Status == http.StatusCreated {
-		reply.Err = json.Unmarshal(reply.Body, &held)
+		reply.Err = json.Unmarshal(reply.Body, &idReply)
 	}
-	return held.RequestID, reply
+	return idReply.RequestID, reply
 }
 
-// Get reads a path of an entry with a credential; empty sends none.
+// Get requests a path of an entry with a credential; an empty one is not sent.
 func (f *Fleet) Get(ctx context.Context, entryIndex int, path, credential string) *Reply {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.entries[entryIndex].URL+path, nil)
 	if err != nil {
@@ -260,23 +265,25 @@
 	return f.do(req)
 }
 
-// OperatorCredential is that of the bundle's operator.
+// OperatorCredential returns the credential of the bundle's operator.
 func (f *Fleet) OperatorCredential() string { return examples.CredentialPrefix + operatorName }
 
-// Explain returns the parts of a request's account as an entry gathers them.
+// Explain returns the explanation of a request that an entry collects from the
+// processes.
 func (f *Fleet) Explain(ctx context.Context, entryIndex int, request string) (*entry.Explanation, error) {
 	reply := f.Get(ctx, entryIndex, "/admin/v1/requests/"+request+"/explain", f.OperatorCredential())
 	var e entry.Explanation
-	return &e, reply.into(&e)
+	return &e, reply.unmarshalOK(&e)
 }
 
-// Status returns the status of all processes as an entry gathers it.
+// Status returns the status of all processes as an entry collects it.
 func (f *Fleet) Status(ctx context.Context, entryIndex int) ([]entry.ProcessStatus, error) {
 	reply := f.Get(ctx, entryIndex, "/admin/v1/status", f.OperatorCredential())
 	var list []entry.ProcessStatus
-	return list, reply.into(&list)
+	return list, reply.unmarshalOK(&list)
 }
 
-// NewKey returns an idempotency key that carries its time. Only such a key can
-// be told from one that the owner's predecessor ran.
+// NewKey returns an idempotency key that contains its creation time (UUIDv7).
+// Only with such a key can an owner tell that its predecessor cannot have run the
+// request.
 func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
--- a/internal/harness/config.go
+++ b/internal/harness/config.go
@@ -11,52 +11,57 @@
 const (
 	loopback       = "127.0.0.1"
 	defaultEntries = 2
-	// defaultDrainWait is short, for there is no balancer.
+	// defaultDrainWait is short because no load balancer has to notice the drain.
 	defaultDrainWait = 200 * time.Millisecond
 	readyTimeout     = 60 * time.Second
 )
 
-// Config says what to start. The zero value is the whole of the first example
-// deployment with two entries and no proxies.
+// Config configures a fleet. The zero value starts all endpoints of the first
+// example deployment with two entries and no proxies.
 type Config struct {
-	// Deployment is an example's name; it gives the failure domains.
+	// Deployment is the name of an example deployment, which defines the failure
+	// domains.
 	Deployment string
-	// Bundle is the YAML to start with; nil means the example's. Credentials
-	// have to follow examples.CredentialPrefix.
+	// Bundle is the initial bundle in YAML; nil means that of the example. Each
+	// credential must be examples.CredentialPrefix followed by the account's name.
 	Bundle []byte
 	// Edit, if set, changes the bundle before it is signed.
 	Edit func(*bundle.Bundle)
-	// Pools are those that have endpoints, and how many; nil means all of the
-	// bundle. The bundle is changed to expect as many. Fewer make a quicker test.
+	// Pools is the number of endpoints to start by pool; other pools get none. Nil
+	// means all endpoints of the bundle. The endpoint counts of these pools in the
+	// bundle are changed to match. Fewer endpoints make a test faster.
 	Pools map[string]int
 	// Entries is the number of entries; zero means two.
 	Entries int
-	// ProxyPeers puts a proxy between each two processes, for Link.
+	// ProxyPeers puts a proxy between any two processes, as Link requires.
 	ProxyPeers bool
-	// ProxyEndpoints puts one between each agent and its endpoint, for EndpointLink.
+	// ProxyEndpoints puts a proxy between each agent and its endpoint, as
+	// EndpointLink requires.
 	ProxyEndpoints bool
-	// ProxyPlatform puts one between each process and the platform, for PlatformLink.
+	// ProxyPlatform puts a proxy between each process and the platform, as
+	// PlatformLink requires.
 	ProxyPlatform bool
-	// EndpointsApart runs the endpoints' stand-ins in a process of their own.
+	// EndpointsApart runs all endpoint stand-ins in one separate process instead of
+	// the test process.
 	EndpointsApart bool
 	// Plain runs binaries without the race detector.
 	Plain bool
-	// Platform shapes the platform's stand-in.
+	// Platform configures the platform stand-in.
 	Platform fake.PlatformSettings
-	// Engine and Service, if set, change the shape of the endpoints' stand-ins.
+	// Engine and Service, if set, change the settings of the endpoint stand-ins.
 	Engine  func(*bundle.Pool, *fake.EngineSettings)
 	Service func(*bundle.Pool, *fake.ServiceSettings)
-	// DrainWait is the entries' setting; zero means 200 ms.
+	// DrainWait is the --drain-wait setting of the entries; zero means 200 ms.
 	DrainWait time.Duration
-	// LogLevel is that of the processes; empty means info.
+	// LogLevel is the log level of the processes; empty means info.
 	LogLevel string
 	// EntryFlags and AgentFlags are added to the command lines.
 	EntryFlags []string
 	AgentFlags []string
-	// Prepare, if set, is called before the first process starts, when the
-	// stand-ins run and all proxies but those between processes are there.
+	// Prepare, if set, is called before the first agent or entry starts. At that
+	// time the stand-ins run, and all proxies exist except those between processes.
 	Prepare func(*Fleet)
-	// NoWait returns before the entries are ready.
+	// NoWait means that Start returns without waiting until the fleet is ready.
 	NoWait bool
 }
 
@@ -83,7 +88,7 @@
 	return nil
 }
 
-// endpoints is how many endpoints of a pool to start.
+// endpoints returns the number of endpoints of a pool to start.
 func (c *Config) endpoints(pool *bundle.Pool) int {
 	if c.Pools == nil {
 		return pool.Endpoints
--- a/internal/harness/doc.go
+++ b/internal/harness/doc.go
@@ -23,6 +23,6 @@
 //
 // Names: entries are entry-1, entry-2 and so on, which are also the names of
 // their VMs; endpoints are POOL-1 and so on, each with an agent of the same name
-// on the VM vm-ENDPOINT. Everything ends with the test; a process that
-// reports a data race, panics or does not end in good order fails it.
+// on the VM vm-ENDPOINT. All processes are ended at the end of the test. The test
+// fails if a process reports a data race, panics or does not exit cleanly.
 package harness
--- a/internal/harness/endpoint.go
+++ b/internal/harness/endpoint.go
@@ -7,8 +7,8 @@
 	"github.com/mangostage/mangostage/fake"
 )
 
-// The shape of the stand-ins unless a Config says otherwise: quick, so that
-// tests are.
+// Default settings of the stand-ins, which Config.Engine and Config.Service can
+// change. The times are short to keep tests fast.
 const (
 	serviceTime = 3 * time.Millisecond
 	tokenTime   = time.Millisecond
@@ -16,14 +16,15 @@
 	cacheBlocks = 4096
 )
 
-// StandIn is what all stand-ins for endpoints have in common.
+// StandIn is the interface of all endpoint stand-ins.
 type StandIn interface {
 	Start(addr string) error
 	URL() string
 	Close()
-	// Apply makes the stand-in fail, or stop failing.
+	// Apply changes the faults of the stand-in.
 	Apply(fake.Control)
-	// Counts returns what it has seen, the ground truth of every test.
+	// Counts returns what the stand-in has received and run. Tests compare the
+	// fleet's answers and reports with it.
 	Counts() fake.Counts
 }
 
@@ -35,17 +36,19 @@
 	Domain string
 }
 
+// newStandIn creates the stand-in for an endpoint, in the process that
+// Config.SeparateEndpoints selects.
 func (f *Fleet) newStandIn(pool *bundle.Pool, name string, seed uint64) StandIn {
 	if pool.Protocol == bundle.ProtocolEngine {
 		s := f.cfg.engineSettings(pool, seed)
 		if f.cfg.EndpointsApart {
-			return f.apart(name, s)
+			return f.addRemoteStandIn(name, s)
 		}
 		return fake.NewEngine(s)
 	}
 	s := f.cfg.serviceSettings(pool, seed)
 	if f.cfg.EndpointsApart {
-		return f.apart(name, s)
+		return f.addRemoteStandIn(name, s)
 	}
 	return fake.NewService(s)
 }
--- a/internal/harness/expect.go
+++ b/internal/harness/expect.go
@@ -7,19 +7,20 @@
 	"github.com/mangostage/mangostage/fake"
 )
 
-// marked is an input whose runs the stand-ins count by its marker.
-type marked struct {
+// markedInput is an input whose runs the stand-ins count by its order ID or
+// marker.
+type markedInput struct {
 	Order  string `json:"order,omitempty"`
 	Marker string `json:"marker,omitempty"`
 }
 
-// Order returns an input whose runs are counted under id.
-func Order(id string) json.RawMessage { return encode(marked{Order: id}) }
+// Order returns an order input; its runs are counted under id.
+func Order(id string) json.RawMessage { return encode(markedInput{Order: id}) }
 
-// Marker returns an input that is counted alike and is no order.
-func Marker(id string) json.RawMessage { return encode(marked{Marker: id}) }
+// Marker returns an input that is not an order; its runs are counted under id.
+func Marker(id string) json.RawMessage { return encode(markedInput{Marker: id}) }
 
-func encode(m marked) json.RawMessage {
+func encode(m markedInput) json.RawMessage {
 	body, err := json.Marshal(m)
 	if err != nil {
 		panic("harness: encode an input: " + err.Error())
@@ -27,7 +28,7 @@
 	return body
 }
 
-// Expect returns the one right output of a pipeline for an input.
+// Expect returns the only correct output of a pipeline for an input.
 func Expect(b *bundle.Bundle, pipeline string, input json.RawMessage) json.RawMessage {
 	var previous json.RawMessage
 	for _, s := range b.Pipeline(pipeline).Stages {
@@ -40,7 +41,7 @@
 	return previous
 }
 
-// Runs returns how often anything was started for a marker, at all endpoints.
+// Runs returns the number of stage runs started for a marker at all endpoints.
 func (f *Fleet) Runs(marker string) int {
 	n := 0
 	for _, e := range f.endpoints {
@@ -49,24 +50,24 @@
 	return n
 }
 
-// StageRuns returns how often each stage was started for each marker, at all
-// endpoints: by stage, then marker.
+// StageRuns returns the number of runs started at all endpoints, by stage and
+// then by marker.
 func (f *Fleet) StageRuns() map[string]map[string]int {
-	sum := make(map[string]map[string]int)
+	runs := make(map[string]map[string]int)
 	for _, e := range f.endpoints {
 		for stage, starts := range e.Counts().StageStarts {
-			if sum[stage] == nil {
-				sum[stage] = make(map[string]int)
+			if runs[stage] == nil {
+				runs[stage] = make(map[string]int)
 			}
 			for marker, n := range starts {
-				sum[stage][marker] += n
+				runs[stage][marker] += n
 			}
 		}
 	}
-	return sum
+	return runs
 }
 
-// TotalStarts returns how often anything was started, at all endpoints.
+// TotalStarts returns the number of runs started at all endpoints.
 func (f *Fleet) TotalStarts() int {
 	n := 0
 	for _, e := range f.endpoints {
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -29,55 +29,63 @@
 // Entry is an entry process.
 type Entry struct {
 	*Process
-	// URL is that of the callers' HTTP API.
+	// URL is the base URL of the HTTP API for callers.
 	URL string
 }
 
 // Fleet is a running deployment.
 type Fleet struct {
+	// Platform is the platform stand-in.
 	Platform *fake.Platform
-	// Bundle is the one that the fleet was started with.
+	// Bundle is the bundle that the fleet was started with.
 	Bundle *bundle.Bundle
 
-	t         testing.TB
-	cfg       Config
-	yaml      []byte
-	domains   []string
+	t   testing.TB
+	cfg Config
+	// yaml is the text of Bundle.
+	yaml    []byte
+	domains []string
+	// key signs bundles; publicPEM is its public key.
 	key       ed25519.PrivateKey
 	publicPEM string
 	fleetKey  reqid.Key
 	proxies   *toxiproxy.ApiServer
-	views     *views
-	front     *httptest.Server
-	http      *http.Client
+	// views, served by viewServer, is nil unless Config.ProxyPeers is set.
+	views      *views
+	viewServer *httptest.Server
+	http       *http.Client
 
-	entries   []*Entry
+	entries []*Entry
+	// agents holds the agents by endpoint name.
 	agents    map[string]*Process
 	endpoints []*Endpoint
 	vms       []confsvc.VM
-	// toEndpoint and toPlatform are by process name.
-	toEndpoint map[string]*proxy
-	toPlatform map[string]*proxy
-	releases   []func()
-
-	poolFile     poolFile
-	apartProcess *Process
+	// endpointProxies and platformProxies hold proxies by process name.
+	endpointProxies map[string]*proxy
+	platformProxies map[string]*proxy
+	// portReleases holds a function for each reserved port that releases it.
+	portReleases []func()
+
+	// poolFile and endpointsProcess are used only with Config.SeparateEndpoints.
+	poolFile         poolFile
+	endpointsProcess *Process
 }
 
-// Start starts a fleet, waits until it is ready and ends it with the test.
+// Start starts a fleet and waits until it is ready. The fleet is stopped at the
+// end of the test.
 func Start(t testing.TB, cfg Config) *Fleet {
 	t.Helper()
 	if err := cfg.setDefaults(); err != nil {
 		t.Fatal(err)
 	}
 	f := &Fleet{
-		t:          t,
-		cfg:        cfg,
-		agents:     make(map[string]*Process),
-		toEndpoint: make(map[string]*proxy),
-		toPlatform: make(map[string]*proxy),
-		proxies:    newProxyServer(),
-		http:       newHTTPClient(),
+		t:               t,
+		cfg:             cfg,
+		agents:          make(map[string]*Process),
+		endpointProxies: make(map[string]*proxy),
+		platformProxies: make(map[string]*proxy),
+		proxies:         newProxyServer(),
+		http:            newHTTPClient(),
 	}
 	Binary(t, binaryEntry, cfg.Plain)
 	t.Cleanup(f.stop)
@@ -85,10 +93,10 @@
 	f.startPlatform()
 	f.startEndpoints()
 	if cfg.EndpointsApart {
-		f.startApart()
+		f.startEndpointsProcess()
 	}
-	f.planAgents()
-	f.planEntries()
+	f.configureAgents()
+	f.configureEntries()
 	f.Platform.VMs.Set(f.vms)
 	if cfg.Prepare != nil {
 		cfg.Prepare(f)
@@ -100,6 +108,7 @@
 	return f
 }
 
+// must fails the test on an error.
 func (f *Fleet) must(err error) {
 	f.t.Helper()
 	if err != nil {
@@ -107,11 +116,12 @@
 	}
 }
 
+// prepare sets up the failure domains, the bundle and the keys.
 func (f *Fleet) prepare() {
 	var err error
 	f.domains, err = examples.Domains(f.cfg.Deployment)
 	f.must(err)
-	f.planBundle()
+	f.prepareBundle()
 	public, private, err := bundle.GenerateKey()
 	f.must(err)
 	f.key = private
@@ -124,7 +134,7 @@
 	f.fleetKey = key
 }
 
-// MintID returns a request ID as an entry of the fleet would sign it.
+// MintID returns a request ID signed with the fleet's key, as an entry issues it.
 func (f *Fleet) MintID(fields reqid.Fields) string { return reqid.Mint(f.fleetKey, fields) }
 
 func (f *Fleet) startPlatform() {
@@ -137,7 +147,7 @@
 	var err error
 	f.views, err = newViews(f.Platform.URL(), f.proxies)
 	f.must(err)
-	f.front = httptest.NewServer(f.views)
+	f.viewServer = httptest.NewServer(f.views)
 }
 
 func (f *Fleet) startEndpoints() {
@@ -159,7 +169,7 @@
 	}
 }
 
-// endpointNames lists the endpoints that the bundle expects of a pool.
+// endpointNames returns the names of all endpoints of a pool in the bundle.
 func endpointNames(pool *bundle.Pool) []string {
 	names := make([]string, pool.Endpoints)
 	for i := range names {
@@ -168,45 +178,50 @@
 	return names
 }
 
-func (f *Fleet) planAgents() {
+// configureAgents adds an agent on its own VM for each endpoint without starting
+// it.
+func (f *Fleet) configureAgents() {
 	for _, e := range f.endpoints {
 		vm := confsvc.VM{
 			Name: vmPrefix + e.Name, Role: wire.RoleAgent, Domain: e.Domain,
 			State: confsvc.VMLive, Endpoint: e.Name, Pool: e.Pool,
 		}
-		args := f.common(&vm, e.Name)
+		args := f.commonFlags(&vm, e.Name)
 		args = append(args,
 			"--endpoint="+e.Name,
 			"--pool="+e.Pool,
 			"--endpoint-url="+f.endpointURL(e),
 			"--protocol="+string(f.Bundle.Pool(e.Pool).Protocol),
 		)
-		f.agents[e.Name] = f.plan(vm, e.Name, binaryAgent, append(args, f.cfg.AgentFlags...))
+		f.agents[e.Name] = f.addProcess(vm, e.Name, binaryAgent, append(args, f.cfg.AgentFlags...))
 	}
 }
 
-func (f *Fleet) planEntries() {
+// configureEntries adds the entries and their VMs without starting them.
+func (f *Fleet) configureEntries() {
 	for i := range f.cfg.Entries {
 		vm := confsvc.VM{
 			Name: fmt.Sprintf("entry-%d", i+1), Role: wire.RoleEntry,
 			Domain: f.domains[i%len(f.domains)], State: confsvc.VMLive,
 		}
-		args := f.common(&vm, vm.Name)
-		listen := f.port()
+		args := f.commonFlags(&vm, vm.Name)
+		listen := f.newPort()
 		args = append(args, "--listen="+listen, "--drain-wait="+f.cfg.DrainWait.String())
-		p := f.plan(vm, vm.Name, binaryEntry, append(args, f.cfg.EntryFlags...))
+		p := f.addProcess(vm, vm.Name, binaryEntry, append(args, f.cfg.EntryFlags...))
 		f.entries = append(f.entries, &Entry{Process: p, URL: "http://" + listen})
 	}
 }
 
-func (f *Fleet) plan(vm confsvc.VM, name, binary string, args []string) *Process {
+// addProcess adds a VM to the fleet and returns its process, not yet started.
+func (f *Fleet) addProcess(vm confsvc.VM, name, binary string, args []string) *Process {
 	f.vms = append(f.vms, vm)
 	return &Process{Name: name, VM: vm.Name, t: f.t, binary: Binary(f.t, binary, f.cfg.Plain), args: args}
 }
 
-// common returns the flags of every process and fills in the VM's address.
-func (f *Fleet) common(vm *confsvc.VM, process string) []string {
-	vm.Address = f.port()
+// commonFlags returns the flags that all processes share. It reserves the peer
+// address and sets it in vm.
+func (f *Fleet) commonFlags(vm *confsvc.VM, process string) []string {
+	vm.Address = f.newPort()
 	if f.views != nil {
 		f.views.roles[vm.Name] = vm.Role
 	}
@@ -222,32 +237,37 @@
 	}
 }
 
-func (f *Fleet) port() string {
+// newPort reserves a loopback address until the end of the test.
+func (f *Fleet) newPort() string {
 	address, release, err := reservePort()
 	f.must(err)
-	f.releases = append(f.releases, release)
+	f.portReleases = append(f.portReleases, release)
 	return address
 }
 
+// endpointURL returns the URL at which an agent reaches its endpoint.
 func (f *Fleet) endpointURL(e *Endpoint) string {
 	if !f.cfg.ProxyEndpoints {
 		return e.URL()
 	}
-	return f.proxied(f.toEndpoint, e.Name, e.URL())
+	return f.addProxy(f.endpointProxies, e.Name, e.URL())
 }
 
+// platformURL returns the URL at which a process reaches the platform.
 func (f *Fleet) platformURL(vm, process string) string {
 	base, path := f.Platform.URL(), ""
-	if f.front != nil {
-		base, path = f.front.URL, "/"+vm
+	if f.viewServer != nil {
+		base, path = f.viewServer.URL, "/"+vm
 	}
 	if f.cfg.ProxyPlatform {
-		base = f.proxied(f.toPlatform, process, base)
+		base = f.addProxy(f.platformProxies, process, base)
 	}
 	return base + path
 }
 
-func (f *Fleet) proxied(proxies map[string]*proxy, process, base string) string {
+// addProxy starts a proxy from a process to the host of base, adds it to proxies
+// and returns its URL.
+func (f *Fleet) addProxy(proxies map[string]*proxy, process, base string) string {
 	parsed, err := url.Parse(base)
 	f.must(err)
 	p, err := newProxy(f.proxies, process+" to "+parsed.Host, parsed.Host)
@@ -262,7 +282,7 @@
 	}
 }
 
-// Processes lists all processes, the entries first.
+// Processes returns the entries followed by the agents.
 func (f *Fleet) Processes() []*Process {
 	var list []*Process
 	for _, e := range f.entries {
@@ -276,7 +296,7 @@
 	return list
 }
 
-// Entries lists the entries.
+// Entries returns all entries.
 func (f *Fleet) Entries() []*Entry { return f.entries }
 
 // Entry returns an entry, counted from 0.
@@ -292,7 +312,7 @@
 	return p
 }
 
-// Endpoints lists the endpoints' stand-ins.
+// Endpoints returns all endpoint stand-ins.
 func (f *Fleet) Endpoints() []*Endpoint { return f.endpoints }
 
 // Endpoint returns the stand-in for an endpoint.
@@ -307,7 +327,7 @@
 	return nil
 }
 
-// PoolEndpoints lists the endpoints of a pool.
+// PoolEndpoints returns the endpoint stand-ins of a pool.
 func (f *Fleet) PoolEndpoints(pool string) []*Endpoint {
 	var list []*Endpoint
 	for _, e := range f.endpoints {
@@ -318,7 +338,7 @@
 	return list
 }
 
-// Sign returns the signed form of a YAML bundle, by the key that the fleet trusts.
+// Sign returns a YAML bundle signed with the key that the fleet trusts.
 func (f *Fleet) Sign(yaml []byte) []byte {
 	f.t.Helper()
 	signed, err := bundle.Sign(f.key, yaml)
@@ -326,7 +346,7 @@
 	return signed
 }
 
-// Publish signs a YAML bundle and puts it into the configuration service.
+// Publish signs a YAML bundle and publishes it in the configuration service.
 func (f *Fleet) Publish(yaml []byte) {
 	f.t.Helper()
 	f.Platform.Config.Publish(confsvc.ValueBundle, f.Sign(yaml))
@@ -340,9 +360,10 @@
 	}
 }
 
-// stop ends everything that is still there and reports what went wrong.
+// stop ends all processes, stand-ins and proxies. It fails the test for processes
+// that did not exit cleanly, and prints the ends of the logs if the test failed.
 func (f *Fleet) stop() {
-	f.heal()
+	f.endStalls()
 	for _, p := range f.Processes() {
 		p.terminate()
 	}
@@ -355,16 +376,16 @@
 	for _, e := range f.endpoints {
 		e.Close()
 	}
-	if f.apartProcess != nil {
-		f.apartProcess.terminate()
-		f.apartProcess.reap()
+	if f.endpointsProcess != nil {
+		f.endpointsProcess.terminate()
+		f.endpointsProcess.reap()
 	}
-	if f.front != nil {
-		f.front.CloseClientConnections()
-		f.front.Close()
+	if f.viewServer != nil {
+		f.viewServer.CloseClientConnections()
+		f.viewServer.Close()
 		f.views.close()
 	}
-	for _, proxies := range []map[string]*proxy{f.toEndpoint, f.toPlatform} {
+	for _, proxies := range []map[string]*proxy{f.endpointProxies, f.platformProxies} {
 		for _, p := range proxies {
 			p.close()
 		}
@@ -372,26 +393,27 @@
 	if f.Platform != nil {
 		f.Platform.Close()
 	}
-	for _, release := range f.releases {
+	for _, release := range f.portReleases {
 		release()
 	}
 }
 
-// heal ends stalls, which would keep agents from draining.
-func (f *Fleet) heal() {
-	if f.apartProcess != nil && !f.apartProcess.Running() {
+// endStalls ends all stalls of the endpoints, which would keep agents from
+// draining.
+func (f *Fleet) endStalls() {
+	if f.endpointsProcess != nil && !f.endpointsProcess.Running() {
 		return
 	}
-	running := false
+	stalled := false
 	for _, e := range f.endpoints {
-		e.Apply(fake.Control{Stall: &running})
+		e.Apply(fake.Control{Stall: &stalled})
 	}
 }
 
 func (f *Fleet) printLogs() {
 	processes := f.Processes()
-	each := shownLogs / max(1, len(processes))
+	bytesEach := maxPrintedLogBytes / max(1, len(processes))
 	for _, p := range processes {
-		f.t.Logf("end of the log of %s:\n%s", p.Name, p.log.tail(each))
+		f.t.Logf("end of the log of %s:\n%s", p.Name, p.log.tail(bytesEach))
 	}
 }
--- a/internal/harness/frozen_linux.go
+++ b/internal/harness/frozen_linux.go
@@ -9,11 +9,11 @@
 	"github.com/joomcode/errorx"
 )
 
-// stateStopped is a thread's state in /proc once it has taken SIGSTOP.
+// stateStopped is the state in /proc of a thread stopped by SIGSTOP.
 const stateStopped = 'T'
 
-// frozen returns nil if every thread of the process has stopped.
-func frozen(pid int) error {
+// checkFrozen returns nil if every thread of the process is stopped.
+func checkFrozen(pid int) error {
 	paths, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(pid), "task", "*", "stat"))
 	if err != nil {
 		return errorx.Decorate(err, "list the threads of %d", pid)
@@ -26,10 +26,11 @@
 		if err != nil {
 			return errorx.Decorate(err, "read the state of a thread")
 		}
-		// The state follows the name, which is in parentheses and may hold any.
+		// The state follows the thread's name, which is in parentheses and may
+		// itself contain parentheses and spaces.
 		_, rest, found := bytes.Cut(stat[bytes.LastIndexByte(stat, ')')+1:], []byte{' '})
 		if !found || len(rest) == 0 || rest[0] != stateStopped {
-			return errorx.IllegalState.New("a thread of %d runs: %s", pid, stat)
+			return errorx.IllegalState.New("a thread of process %d is not stopped: %s", pid, stat)
 		}
 	}
 	return nil
--- a/internal/harness/frozen_other.go
+++ b/internal/harness/frozen_other.go
@@ -2,5 +2,5 @@
 
 package harness
 
-// frozen cannot tell the states of threads here; the signal has been sent.
-func frozen(int) error { return nil }
+// checkFrozen always returns nil, because thread states are read only on Linux.
+func checkFrozen(int) error { return nil }
--- a/internal/harness/gate.go
+++ b/internal/harness/gate.go
@@ -12,51 +12,55 @@
 )
 
 const (
-	// fullAfter is how long a connection to a full listener is waited for.
-	fullAfter = 100 * time.Millisecond
-	fillers   = 16
+	// fullDialTimeout is the dial timeout after which the listener counts as full.
+	fullDialTimeout = 100 * time.Millisecond
+	// maxFillConns limits the connections with which Fill fills the listener.
+	maxFillConns = 16
 )
 
 type gateMode int
 
 const (
 	gateOpen gateMode = iota
-	// gateHeld takes new connections and passes nothing on.
-	gateHeld
-	// gateFull takes no new connections: whoever dials hangs.
+	// gateHolding accepts new connections but forwards no data of them.
+	gateHolding
+	// gateFull accepts no new connections, so that dialling blocks.
 	gateFull
 )
 
-// Gate passes connections on to an endpoint and can stop new ones, while those
-// that it has passed on go on. So a message that has a connection of its own
-// is stopped before or after it was written, and health checks are not.
+// Gate is a TCP proxy to an endpoint that can block new connections while
+// established ones, such as those of health checks, continue. With it, a message
+// that is sent on a connection of its own can be blocked before or after it was
+// written.
 type Gate struct {
 	t        testing.TB
 	listener *net.TCPListener
 
 	mu       sync.Mutex
-	changed  *sync.Cond
+	cond     *sync.Cond
 	mode     gateMode
 	upstream string
-	held     int
-	// accepted counts connections since the latest change of mode.
-	accepted int
-	fill     []net.Conn
-	// filling are the addresses of the gate's own connections.
-	filling map[string]bool
-	open    []net.Conn
-	closed  bool
+	// waiting counts the connections with data that wait to be forwarded.
+	waiting int
+	// accepted counts the connections since the last change of mode, except those
+	// of Fill.
+	accepted  int
+	fillConns []net.Conn
+	// fillAddrs holds the local addresses of the connections that Fill made.
+	fillAddrs map[string]bool
+	conns     []net.Conn
+	closed    bool
 }
 
-// NewGate returns an open gate, which ends with the test.
+// NewGate returns an open gate, which is closed at the end of the test.
 func NewGate(t testing.TB) *Gate {
 	t.Helper()
 	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP(loopback)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &Gate{t: t, listener: listener, filling: make(map[string]bool)}
-	g.changed = sync.NewCond(&g.mu)
+	g := &Gate{t: t, listener: listener, fillAddrs: make(map[string]bool)}
+	g.cond = sync.NewCond(&g.mu)
 	if err := g.shrinkBacklog(); err != nil {
 		t.Fatal(err)
 	}
@@ -65,46 +69,48 @@
 	return g
 }
 
-// shrinkBacklog lets the kernel complete no connection beyond one that nobody
-// has accepted; it drops the first packet of others, which their side repeats.
+// shrinkBacklog reduces the listen backlog to zero. The kernel then completes at
+// most one connection that is not accepted yet, and drops the SYN packets of
+// others, which the clients retransmit.
 func (g *Gate) shrinkBacklog() error {
 	raw, err := g.listener.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var listen error
-	if err := raw.Control(func(fd uintptr) { listen = syscall.Listen(int(fd), 0) }); err != nil {
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), 0) }); err != nil {
 		return err
 	}
-	return listen
+	return listenErr
 }
 
-// URL is what the agent takes for the endpoint's.
+// URL returns the URL of the gate, to be used as that of the endpoint.
 func (g *Gate) URL() string { return "http://" + g.listener.Addr().String() }
 
-// To sets the address that connections are passed on to, as host:port.
+// To sets the address to which connections are forwarded, as host:port.
 func (g *Gate) To(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.upstream = address
-	g.changed.Broadcast()
+	g.cond.Broadcast()
 }
 
-// Hold takes new connections from now on, and passes nothing on before Open.
-func (g *Gate) Hold() { g.set(gateHeld) }
+// Hold makes the gate accept new connections but forward none of their data until
+// Open.
+func (g *Gate) Hold() { g.set(gateHolding) }
 
-// Open passes on what was held, and new connections.
+// Open makes the gate forward waiting and new connections.
 func (g *Gate) Open() { g.set(gateOpen) }
 
-// Fill makes whoever dials from now on hang until Open. The gate itself takes
-// one more connection, which makes room for another, so that one failure does
-// not yet show that it is full.
+// Fill makes new dials to the gate block until Open, by filling the listen
+// backlog. The gate's accept loop may still take one connection out of the
+// backlog, so only two consecutive dial failures show that it is full.
 func (g *Gate) Fill() {
 	g.t.Helper()
 	g.set(gateFull)
 	failures := 0
-	for range fillers {
-		conn, err := net.DialTimeout("tcp", g.listener.Addr().String(), fullAfter)
+	for range maxFillConns {
+		conn, err := net.DialTimeout("tcp", g.listener.Addr().String(), fullDialTimeout)
 		if err != nil {
 			failures++
 			if failures == 2 {
@@ -114,45 +120,49 @@
 		}
 		failures = 0
 		g.mu.Lock()
-		g.fill = append(g.fill, conn)
-		g.filling[conn.LocalAddr().String()] = true
+		g.fillConns = append(g.fillConns, conn)
+		g.fillAddrs[conn.LocalAddr().String()] = true
 		g.mu.Unlock()
 	}
-	g.t.Fatal("the gate's listener does not fill")
+	g.t.Fatal("the backlog of the gate's listener does not fill up")
 }
 
-// Held returns nil once a connection with data waits at a gate that holds.
+// Held returns nil if a connection that has sent data waits at the gate to be
+// forwarded.
 func (g *Gate) Held() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.held == 0 {
-		return errorx.IllegalState.New("nothing waits at the gate")
+	if g.waiting == 0 {
+		return errorx.IllegalState.New("no connection with data waits at the gate")
 	}
 	return nil
 }
 
-// Connected returns nil once somebody has connected since the latest change.
+// Connected returns nil if a connection was accepted since the last change of
+// mode.
 func (g *Gate) Connected() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.accepted == 0 {
-		return errorx.IllegalState.New("nobody has connected to the gate")
+		return errorx.IllegalState.New("the gate has accepted no connection since the last change of mode")
 	}
 	return nil
 }
 
+// set changes the mode, closes the connections of Fill unless the gate is to be
+// full, and wakes waiting connections.
 func (g *Gate) set(mode gateMode) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.mode = mode
 	g.accepted = 0
 	if mode != gateFull {
-		for _, conn := range g.fill {
+		for _, conn := range g.fillConns {
 			_ = conn.Close()
 		}
-		g.fill = nil
+		g.fillConns = nil
 	}
-	g.changed.Broadcast()
+	g.cond.Broadcast()
 }
 
 func (g *Gate) accept() {
@@ -161,44 +171,46 @@
 		if err != nil {
 			return
 		}
-		if !g.await(func() bool { return g.mode != gateFull }) {
+		if !g.waitUntil(func() bool { return g.mode != gateFull }) {
 			_ = conn.Close()
 			return
 		}
-		g.noteAccepted(conn)
-		go g.pass(conn)
+		g.countAccepted(conn)
+		go g.forward(conn)
 	}
 }
 
-func (g *Gate) noteAccepted(conn net.Conn) {
+func (g *Gate) countAccepted(conn net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.filling[conn.RemoteAddr().String()] {
+	if !g.fillAddrs[conn.RemoteAddr().String()] {
 		g.accepted++
 	}
 }
 
-// await waits for a condition that is judged under the lock; it returns false
-// if the gate is closed first.
-func (g *Gate) await(ready func() bool) bool {
+// waitUntil waits until ready returns true; it calls ready with the lock held. It
+// returns false if the gate is closed.
+func (g *Gate) waitUntil(ready func() bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for !g.closed && !ready() {
-		g.changed.Wait()
+		g.cond.Wait()
 	}
 	return !g.closed
 }
 
-func (g *Gate) pass(from net.Conn) {
+// forward waits for the first byte of a connection and for the gate to open, and
+// then copies data in both directions.
+func (g *Gate) forward(from net.Conn) {
 	defer func() { _ = from.Close() }()
-	g.keep(from)
+	g.track(from)
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(from, first); err != nil {
 		return
 	}
-	g.count(1)
-	ready := g.await(func() bool { return g.mode == gateOpen && g.upstream != "" })
-	g.count(-1)
+	g.addWaiting(1)
+	ready := g.waitUntil(func() bool { return g.mode == gateOpen && g.upstream != "" })
+	g.addWaiting(-1)
 	if !ready {
 		return
 	}
@@ -207,7 +219,7 @@
 		return
 	}
 	defer func() { _ = to.Close() }()
-	g.keep(to)
+	g.track(to)
 	if _, err := to.Write(first); err != nil {
 		return
 	}
@@ -218,17 +230,17 @@
 	_, _ = io.Copy(from, to)
 }
 
-func (g *Gate) count(n int) {
+func (g *Gate) addWaiting(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held += n
+	g.waiting += n
 }
 
-// keep notes a connection to be closed with the gate.
-func (g *Gate) keep(conn net.Conn) {
+// track registers a connection to be closed with the gate.
+func (g *Gate) track(conn net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.open = append(g.open, conn)
+	g.conns = append(g.conns, conn)
 }
 
 func (g *Gate) close() {
@@ -237,8 +249,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	g.changed.Broadcast()
-	for _, conn := range g.open {
+	g.cond.Broadcast()
+	for _, conn := range g.conns {
 		_ = conn.Close()
 	}
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	catalogue = "catalogue"
-	patience  = 30 * time.Second
+	catalogue   = "catalogue"
+	waitTimeout = 30 * time.Second
 )
 
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
@@ -47,22 +47,22 @@
 	assert.Equal(t, send("cut off").Outcome(), api.OutcomeRefused)
 	assert.Equal(t, fleet.Runs("cut off"), 0)
 	toAgent.Heal()
-	fleet.WaitEntry(0, patience)
+	fleet.WaitEntry(0, waitTimeout)
 
 	toEndpoint := fleet.EndpointLink("catalogue-1")
 	toEndpoint.Drop(harness.Downstream)
 	assert.Assert(t, send("unanswered").Outcome() != api.OutcomeAnswered)
 	toEndpoint.Heal()
-	fleet.WaitEntry(0, patience)
+	fleet.WaitEntry(0, waitTimeout)
 
 	fleet.Entry(0).Kill()
 	assert.Assert(t, send("dead").Err != nil)
 	fleet.Entry(0).Restart()
-	fleet.WaitEntry(0, patience)
+	fleet.WaitEntry(0, waitTimeout)
 	answered("last")
 }
 
-func TestEndpointsInAProcessOfTheirOwn(t *testing.T) {
+func TestEndpointsInSeparateProcess(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
 		Pools:          map[string]int{catalogue: 2, "encoders": 1, "retrievers": 1, "fitting-engines": 1},
 		EndpointsApart: true,
@@ -87,16 +87,16 @@
 	agent.Stop()
 	agent.Cont()
 	agent.Term()
-	assert.Equal(t, agent.WaitExit(patience), 0)
+	assert.Equal(t, agent.WaitExit(waitTimeout), 0)
 	assert.Assert(t, agent.LogHas(`"message":"draining"`))
 	agent.Restart()
 	fleet.PlatformLink("entry-1").Heal()
-	fleet.WaitReady(patience)
+	fleet.WaitReady(waitTimeout)
 
 	fleet.SetVMState("vm-catalogue-1", confsvc.VMLeaving)
-	harness.Wait(t, patience, func() error { return fleet.Unusable(0, "catalogue-1") })
+	harness.Wait(t, waitTimeout, func() error { return fleet.Unusable(0, "catalogue-1") })
 	fleet.Endpoint("catalogue-2").Apply(fake.Control{Crash: true})
 	assert.Equal(t, fleet.Endpoint("catalogue-2").Counts().Crashes, 1)
 	fleet.Publish(fleet.YAML(nil))
-	harness.Wait(t, patience, func() error { return fleet.InForce(fleet.Bundle.Version + 1) })
+	harness.Wait(t, waitTimeout, func() error { return fleet.InForce(fleet.Bundle.Version + 1) })
 }
--- a/internal/harness/link.go
+++ b/internal/harness/link.go
@@ -11,28 +11,31 @@
 	"github.com/rs/zerolog"
 )
 
-// Direction is that of data on a link, seen from the side that dialled.
+// Direction is the direction of data on a link, relative to the side that
+// dialled.
 type Direction string
 
 // The directions.
 const (
-	// Upstream is from the side that dialled.
+	// Upstream means data sent by the side that dialled.
 	Upstream Direction = "upstream"
-	// Downstream is towards the side that dialled.
+	// Downstream means data sent to the side that dialled.
 	Downstream Direction = "downstream"
 )
 
-// Link is the way between two processes, or between a process and a stand-in.
-// All connections on it pass through proxies in the test's process.
+// Link is the network link between two processes, or between a process and a
+// stand-in. All its connections pass through fault-injecting proxies in the test
+// process.
 type Link struct {
 	t       testing.TB
 	proxies []*proxy
 }
 
-// proxy is one listener of toxiproxy's and the port it keeps while stopped.
+// proxy is a toxiproxy proxy whose port stays reserved while it is stopped.
 type proxy struct {
 	*toxiproxy.Proxy
-	// address is the one reserved; the library writes its own copy at each start.
+	// address is the reserved address. It is kept here because toxiproxy rewrites
+	// its own copy at each start.
 	address string
 	release func()
 }
@@ -60,7 +63,7 @@
 	p.release()
 }
 
-// toxic is toxiproxy's description of a fault.
+// toxic is the JSON description of a fault for toxiproxy.
 type toxic struct {
 	Name       string          `json:"name"`
 	Type       string          `json:"type"`
@@ -73,11 +76,14 @@
 	Latency int64 `json:"latency,omitempty"`
 	Jitter  int64 `json:"jitter,omitempty"`
 	Bytes   int64 `json:"bytes,omitempty"`
-	// Timeout is in milliseconds; zero means never.
+	// Timeout is the time in milliseconds after which connections are closed; zero
+	// means never.
 	Timeout int64 `json:"timeout,omitempty"`
 }
 
-func (l *Link) add(kind string, directions []Direction, attributes toxicAttributes) {
+// addToxic adds a fault to all proxies of the link, replacing an earlier fault of
+// the same kind and direction.
+func (l *Link) addToxic(kind string, directions []Direction, attributes toxicAttributes) {
 	l.t.Helper()
 	for _, d := range directions {
 		message := toxic{Name: kind + "-" + string(d), Type: kind, Stream: d, Attributes: attributes}
@@ -96,48 +102,49 @@
 	}
 }
 
-func bothWays() []Direction { return []Direction{Upstream, Downstream} }
+func bothDirections() []Direction { return []Direction{Upstream, Downstream} }
 
-// Cut ends all connections and refuses new ones until Heal.
+// Cut closes all connections and refuses new ones until Heal.
 func (l *Link) Cut() {
 	for _, p := range l.proxies {
 		p.Stop()
 	}
 }
 
-// Drop loses all data without ending connections, as a partition does, until
-// Heal, which ends the connections that lost some.
+// Drop discards all data without closing connections, as in a network partition,
+// until Heal, which closes the connections that lost data. Without directions it
+// applies to both.
 func (l *Link) Drop(directions ...Direction) {
 	l.t.Helper()
 	if len(directions) == 0 {
-		directions = bothWays()
+		directions = bothDirections()
 	}
-	l.add("timeout", directions, toxicAttributes{})
+	l.addToxic("timeout", directions, toxicAttributes{})
 }
 
-// Delay holds all data back for d, both ways unless told otherwise. What is
-// held when the link heals is delivered then.
+// Delay delays all data by d, in both directions if none is given. Heal delivers
+// the data that is still delayed.
 func (l *Link) Delay(d time.Duration, directions ...Direction) {
 	l.t.Helper()
 	if len(directions) == 0 {
-		directions = bothWays()
+		directions = bothDirections()
 	}
-	l.add("latency", directions, toxicAttributes{Latency: d.Milliseconds()})
+	l.addToxic("latency", directions, toxicAttributes{Latency: d.Milliseconds()})
 }
 
-// LimitData ends each connection after so many further bytes in one direction.
+// LimitData closes each connection after n more bytes in the given direction.
 func (l *Link) LimitData(n int64, direction Direction) {
 	l.t.Helper()
-	l.add("limit_data", []Direction{direction}, toxicAttributes{Bytes: n})
+	l.addToxic("limit_data", []Direction{direction}, toxicAttributes{Bytes: n})
 }
 
-// Reset ends connections with a reset as soon as they carry data.
+// Reset resets connections (TCP RST) as soon as they carry data.
 func (l *Link) Reset() {
 	l.t.Helper()
-	l.add("reset_peer", bothWays(), toxicAttributes{})
+	l.addToxic("reset_peer", bothDirections(), toxicAttributes{})
 }
 
-// Heal ends all faults of the link.
+// Heal removes all faults of the link and restarts proxies that Cut stopped.
 func (l *Link) Heal() {
 	l.t.Helper()
 	for _, p := range l.proxies {
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -1,26 +1,27 @@
 package harness
 
-// Link returns the way between two processes, whichever of them dials. It
-// needs ProxyPeers. Processes are named as in Process.Name.
+// Link returns the link between two processes, for connections dialled by either
+// of them. It requires Config.ProxyPeers. Processes are named as in Process.Name.
 func (f *Fleet) Link(a, b string) *Link {
 	f.t.Helper()
 	l := &Link{t: f.t}
-	from, to := f.process(a).VM, f.process(b).VM
+	from, to := f.processNamed(a).VM, f.processNamed(b).VM
 	for _, p := range []pair{{from: from, to: to}, {from: to, to: from}} {
 		if !f.cfg.ProxyPeers {
-			f.t.Fatalf("no proxies between processes: set ProxyPeers")
+			f.t.Fatalf("there are no proxies between processes: set ProxyPeers")
 		}
-		if !f.views.dials(p.from, p.to) {
+		if !f.views.mayDial(p.from, p.to) {
 			continue
 		}
-		made, err := f.views.proxy(p, f.address(p.to))
+		peerProxy, err := f.views.proxy(p, f.vmAddress(p.to))
 		f.must(err)
-		l.proxies = append(l.proxies, made)
+		l.proxies = append(l.proxies, peerProxy)
 	}
 	return l
 }
 
-// Links returns the ways between a process and all others but those named, as one.
+// Links returns one Link for the links between a process and all others, except
+// those named.
 func (f *Fleet) Links(process string, except ...string) *Link {
 	f.t.Helper()
 	var others []string
@@ -30,18 +31,18 @@
 	return f.Between([]string{process}, others, except...)
 }
 
-// Between returns the ways between each of some processes and each of others,
-// as one; cutting it parts the fleet in two.
-func (f *Fleet) Between(some, others []string, except ...string) *Link {
+// Between returns one Link for the links between each process of group and each
+// of others, except those named. Cutting it partitions the fleet.
+func (f *Fleet) Between(group, others []string, except ...string) *Link {
 	f.t.Helper()
-	skip := make(map[string]bool)
-	for _, name := range append(except, some...) {
-		skip[name] = true
+	excluded := make(map[string]bool)
+	for _, name := range append(except, group...) {
+		excluded[name] = true
 	}
 	l := &Link{t: f.t}
-	for _, a := range some {
+	for _, a := range group {
 		for _, b := range others {
-			if !skip[b] && f.related(a, b) {
+			if !excluded[b] && f.mayConnect(a, b) {
 				l.proxies = append(l.proxies, f.Link(a, b).proxies...)
 			}
 		}
@@ -49,33 +50,34 @@
 	return l
 }
 
-// related tells whether two processes ever connect; two agents do not.
-func (f *Fleet) related(a, b string) bool { return f.agents[a] == nil || f.agents[b] == nil }
+// mayConnect reports whether two processes may connect to each other. Two agents
+// never do.
+func (f *Fleet) mayConnect(a, b string) bool { return f.agents[a] == nil || f.agents[b] == nil }
 
-// EndpointLink returns the way between an agent and its endpoint. It needs
-// ProxyEndpoints.
+// EndpointLink returns the link between an agent and its endpoint. It requires
+// Config.ProxyEndpoints.
 func (f *Fleet) EndpointLink(endpoint string) *Link {
 	f.t.Helper()
-	return f.single(f.toEndpoint, endpoint)
+	return f.singleLink(f.endpointProxies, endpoint)
 }
 
-// PlatformLink returns the way between a process and the platform. It needs
-// ProxyPlatform.
+// PlatformLink returns the link between a process and the platform. It requires
+// Config.ProxyPlatform.
 func (f *Fleet) PlatformLink(process string) *Link {
 	f.t.Helper()
-	return f.single(f.toPlatform, process)
+	return f.singleLink(f.platformProxies, process)
 }
 
-func (f *Fleet) single(proxies map[string]*proxy, name string) *Link {
+func (f *Fleet) singleLink(proxies map[string]*proxy, name string) *Link {
 	f.t.Helper()
 	p := proxies[name]
 	if p == nil {
-		f.t.Fatalf("no proxy of %q: set ProxyEndpoints or ProxyPlatform", name)
+		f.t.Fatalf("there is no proxy for %q: set ProxyEndpoints or ProxyPlatform", name)
 	}
 	return &Link{t: f.t, proxies: []*proxy{p}}
 }
 
-func (f *Fleet) process(name string) *Process {
+func (f *Fleet) processNamed(name string) *Process {
 	f.t.Helper()
 	for _, p := range f.Processes() {
 		if p.Name == name {
@@ -86,7 +88,7 @@
 	return nil
 }
 
-func (f *Fleet) address(vm string) string {
+func (f *Fleet) vmAddress(vm string) string {
 	for _, v := range f.vms {
 		if v.Name == vm {
 			return v.Address
--- a/internal/harness/logs.go
+++ b/internal/harness/logs.go
@@ -6,49 +6,54 @@
 )
 
 const (
-	// keptLog is how much of a process's log is kept, in bytes; the oldest goes first.
-	keptLog = 4 << 20
-	// shownLogs is how much of all logs together is printed when a test fails.
-	shownLogs = 64 << 10
-	// shownAlarm is how much is printed from an alarm on.
-	shownAlarm = 8 << 10
+	// maxLogBytes is the size of a process's log to which logBuffer trims it, once
+	// it has grown to twice that size; the oldest output is dropped.
+	maxLogBytes = 4 << 20
+	// maxPrintedLogBytes limits the output of all logs together when a test fails.
+	maxPrintedLogBytes = 64 << 10
+	// maxFailureBytes is the amount of output from a failure text on after which no
+	// more is kept.
+	maxFailureBytes = 8 << 10
 )
 
-// alarms are texts on standard error that no process may print.
-var alarms = [][]byte{
+// failureTexts are texts that no process may print. They show a data race or a
+// crash.
+var failureTexts = [][]byte{
 	[]byte("WARNING: DATA RACE"),
 	[]byte("panic: "),
 	[]byte("fatal error: "),
 }
 
-// logBuffer keeps the end of a process's log. A line that raises an alarm, and
-// what follows it, is kept apart, so that later lines cannot push it out.
+// logBuffer keeps the end of a process's output. The first write that contains a
+// failure text and the writes after it are kept separately as well, so that later
+// output cannot displace them.
 type logBuffer struct {
-	mu     sync.Mutex
-	kept   []byte
-	alarm  []byte
-	raised bool
+	mu      sync.Mutex
+	buf     []byte
+	failure []byte
+	// failed means that a failure text has been written.
+	failed bool
 }
 
 // Write implements io.Writer.
 func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.kept = append(b.kept, p...)
-	if len(b.kept) > 2*keptLog {
-		b.kept = append([]byte(nil), b.kept[len(b.kept)-keptLog:]...)
+	b.buf = append(b.buf, p...)
+	if len(b.buf) > 2*maxLogBytes {
+		b.buf = append([]byte(nil), b.buf[len(b.buf)-maxLogBytes:]...)
 	}
-	if !b.raised && hasAlarm(p) {
-		b.raised = true
+	if !b.failed && hasFailureText(p) {
+		b.failed = true
 	}
-	if b.raised && len(b.alarm) < shownAlarm {
-		b.alarm = append(b.alarm, p[:min(len(p), shownAlarm)]...)
+	if b.failed && len(b.failure) < maxFailureBytes {
+		b.failure = append(b.failure, p[:min(len(p), maxFailureBytes)]...)
 	}
 	return len(p), nil
 }
 
-func hasAlarm(p []byte) bool {
-	for _, text := range alarms {
+func hasFailureText(p []byte) bool {
+	for _, text := range failureTexts {
 		if bytes.Contains(p, text) {
 			return true
 		}
@@ -56,14 +61,14 @@
 	return false
 }
 
-// text returns what is kept.
+// text returns a copy of the kept output.
 func (b *logBuffer) text() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return bytes.Clone(b.kept)
+	return bytes.Clone(b.buf)
 }
 
-// tail returns the last lines of what is kept, of at most size bytes.
+// tail returns the last complete lines of the kept output, at most size bytes.
 func (b *logBuffer) tail(size int) []byte {
 	text := b.text()
 	if len(text) <= size {
@@ -76,9 +81,9 @@
 	return text
 }
 
-// alarmText returns the first alarm and what followed, or nothing.
-func (b *logBuffer) alarmText() []byte {
+// failureOutput returns the output from the first failure text on, or nothing.
+func (b *logBuffer) failureOutput() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return bytes.Clone(b.alarm)
+	return bytes.Clone(b.failure)
 }
--- a/internal/harness/port_linux.go
+++ b/internal/harness/port_linux.go
@@ -8,12 +8,14 @@
 	"github.com/joomcode/errorx"
 )
 
-// reservePort binds a free port of loopback without listening and returns its
-// address and a function that lets it go. It guards against another socket of
-// a busy machine taking the port before its process listens on it, or while the
-// process is down: that shows as a process that fails to start, now and then.
-// The kernel gives a bound port to nobody by itself, refuses connections
-// to it, and lets a listener bind it as well since both reuse the address.
+// reservePort binds a free loopback port without listening on it. It returns the
+// address and a function that releases the port.
+//
+// The reservation prevents that another socket on a busy machine gets the port
+// before the process listens on it, or while the process is down, which would
+// show as a process that occasionally fails to start. The kernel does not assign
+// a bound port to other sockets and refuses connections to it. The process can
+// still listen on the port, because both sockets set SO_REUSEADDR.
 func reservePort() (address string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -36,13 +38,13 @@
 	v4, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
 		release()
-		return "", nil, errorx.IllegalState.New("bound to %T", bound)
+		return "", nil, errorx.IllegalState.New("unexpected address type %T of a bound socket", bound)
 	}
 	return net.JoinHostPort(loopback, strconv.Itoa(v4.Port)), release, nil
 }
 
-// childAttributes make the kernel end a process when the test's ends without
-// its clean-up, as when it runs into its time limit.
+// childAttributes makes the kernel kill the child process when the test process
+// ends without running its cleanup, for example because of the test timeout.
 func childAttributes() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/harness/port_other.go
+++ b/internal/harness/port_other.go
@@ -9,8 +9,9 @@
 	"github.com/joomcode/errorx"
 )
 
-// reservePort finds a free port; it cannot hold it where a second socket may
-// not bind it as well.
+// reservePort returns the address of a free loopback port. It does not reserve
+// the port, because it does not assume that the system lets a second socket bind
+// a port in use; the release function does nothing.
 func reservePort() (address string, release func(), err error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(loopback, "0"))
 	if err != nil {
@@ -20,4 +21,5 @@
 	return listener.Addr().String(), func() {}, nil
 }
 
+// childAttributes returns nil: only Linux ends child processes automatically.
 func childAttributes() *syscall.SysProcAttr { return nil }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -14,17 +14,20 @@
 )
 
 const (
-	// stopTimeout is what a process may take to end after SIGTERM.
+	// stopTimeout limits the time that a process may take to exit after SIGTERM, or
+	// to stop after SIGSTOP.
 	stopTimeout = 20 * time.Second
 	killTimeout = 10 * time.Second
-	// codeNone is the exit code of a process that was ended by a signal.
-	codeNone = -1
+	// exitCodeSignaled is the exit code reported for a process that was ended by a
+	// signal.
+	exitCodeSignaled = -1
 )
 
-// Process is an entry or agent that the harness started. Its methods that send
-// signals fail the test if the process is not there.
+// Process is a program that the harness starts, such as an entry or agent. The
+// methods that send signals fail the test if the process has exited.
 type Process struct {
-	// Name is the process's name in logs and records, VM its VM's in the list.
+	// Name is the name of the process in logs and records, and VM the name of its
+	// VM in the platform's list.
 	Name string
 	VM   string
 
@@ -34,17 +37,18 @@
 	env    []string
 	log    logBuffer
 
-	mu  sync.Mutex
+	mu sync.Mutex
+	// run is the current or latest run; nil before the first start.
 	run *run
 }
 
-// run is one life of a process.
+// run is one execution of a process, from its start to its exit.
 type run struct {
 	cmd *exec.Cmd
-	// ended is closed when the process is gone; code is set before.
-	ended chan struct{}
-	code  int
-	// killed tells that the harness ended it by SIGKILL.
+	// exited is closed when the process has exited; code is set before.
+	exited chan struct{}
+	code   int
+	// killed means that Kill was called, so that a nonzero exit code is expected.
 	killed bool
 }
 
@@ -59,10 +63,10 @@
 	if err := cmd.Start(); err != nil {
 		return errorx.Decorate(err, "start %s", p.Name)
 	}
-	r := &run{cmd: cmd, ended: make(chan struct{})}
+	r := &run{cmd: cmd, exited: make(chan struct{})}
 	p.run = r
 	go func() {
-		defer close(r.ended)
+		defer close(r.exited)
 		r.code = exitCode(cmd.Wait())
 	}()
 	return nil
@@ -76,10 +80,10 @@
 	if errors.As(err, &exit) {
 		return exit.ExitCode()
 	}
-	return codeNone
+	return exitCodeSignaled
 }
 
-func (p *Process) current() *run {
+func (p *Process) currentRun() *run {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.run
@@ -87,10 +91,10 @@
 
 func (p *Process) signal(s syscall.Signal) {
 	p.t.Helper()
-	r := p.current()
+	r := p.currentRun()
 	select {
-	case <-r.ended:
-		p.t.Fatalf("%s has ended with code %d", p.Name, r.code)
+	case <-r.exited:
+		p.t.Fatalf("%s has exited with code %d", p.Name, r.code)
 	default:
 	}
 	if err := r.cmd.Process.Signal(s); err != nil {
@@ -104,30 +108,30 @@
 	p.signal(s)
 }
 
-// Stop freezes the process with SIGSTOP and waits until it stands still; Cont
-// wakes it.
+// Stop freezes the process with SIGSTOP and waits until all its threads have
+// stopped; Cont resumes it.
 //
-// It guards against a process that still takes requests after the signal was
-// sent: its threads stop one after the other, some milliseconds later on a busy
-// machine. That shows as calls in flight in the frozen process, where the test
-// says that all of its work waits in socket buffers.
+// The wait is needed because the threads stop one after the other, some
+// milliseconds after the signal on a busy machine, and may accept requests until
+// then. Such requests would be in flight in the frozen process, while tests assume
+// that all its work waits in socket buffers.
 func (p *Process) Stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGSTOP)
-	pid := p.current().cmd.Process.Pid
-	Wait(p.t, stopTimeout, func() error { return frozen(pid) })
+	pid := p.currentRun().cmd.Process.Pid
+	Wait(p.t, stopTimeout, func() error { return checkFrozen(pid) })
 }
 
-// Cont wakes a frozen process.
+// Cont resumes a process frozen by Stop.
 func (p *Process) Cont() {
 	p.t.Helper()
 	p.signal(syscall.SIGCONT)
 }
 
-// Kill ends the process with SIGKILL and waits until it is gone.
+// Kill ends the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	p.t.Helper()
-	r := p.current()
+	r := p.currentRun()
 	p.mu.Lock()
 	r.killed = true
 	p.mu.Unlock()
@@ -135,46 +139,47 @@
 	p.WaitExit(killTimeout)
 }
 
-// Term asks the process to end in good order, and does not wait for it.
+// Term asks the process to shut down gracefully with SIGTERM and does not wait.
 func (p *Process) Term() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 }
 
-// WaitExit waits until the process is gone and returns its exit code, which is
-// -1 if a signal ended it.
+// WaitExit waits until the process has exited and returns its exit code, which is
+// -1 if a signal ended it. It fails the test after timeout.
 func (p *Process) WaitExit(timeout time.Duration) int {
 	p.t.Helper()
-	r := p.current()
+	r := p.currentRun()
 	if !r.wait(timeout) {
-		p.t.Fatalf("%s has not ended after %v", p.Name, timeout)
+		p.t.Fatalf("%s has not exited after %v", p.Name, timeout)
 	}
 	return r.code
 }
 
+// wait waits for the exit of the process. It returns false after timeout.
 func (r *run) wait(timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-r.ended:
+	case <-r.exited:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// Running tells whether the process has not ended.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	select {
-	case <-p.current().ended:
+	case <-p.currentRun().exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// Restart starts an ended process again with the same settings: a new
-// incarnation. It does not wait until the process serves.
+// Restart starts a new incarnation of an exited process with the same settings.
+// It does not wait until the process is ready.
 func (p *Process) Restart() {
 	p.t.Helper()
 	if p.Running() {
@@ -185,20 +190,20 @@
 	}
 }
 
-// Log returns what is kept of the process's log, over all its runs.
+// Log returns the kept end of the process's output over all its runs.
 func (p *Process) Log() []byte { return p.log.text() }
 
-// LogHas tells whether the kept log has a line with all of the texts.
+// LogHas reports whether a line of the kept output contains all of the texts.
 func (p *Process) LogHas(texts ...string) bool {
 	for line := range bytes.Lines(p.log.text()) {
-		if hasAll(line, texts) {
+		if containsAll(line, texts) {
 			return true
 		}
 	}
 	return false
 }
 
-func hasAll(line []byte, texts []string) bool {
+func containsAll(line []byte, texts []string) bool {
 	for _, text := range texts {
 		if !bytes.Contains(line, []byte(text)) {
 			return false
@@ -207,9 +212,10 @@
 	return true
 }
 
-// terminate begins to end a process at the end of the test.
+// terminate asks the process to exit at the end of the test. SIGCONT comes first,
+// because a frozen process would not handle SIGTERM.
 func (p *Process) terminate() {
-	r := p.current()
+	r := p.currentRun()
 	if r == nil {
 		return
 	}
@@ -217,14 +223,15 @@
 	_ = r.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// reap waits for a terminated process and reports what it did wrong.
+// reap waits for the exit of a terminated process. It fails the test if the
+// process exits late, with an unexpected code or after printing a failure text.
 func (p *Process) reap() {
-	r := p.current()
+	r := p.currentRun()
 	if r == nil {
 		return
 	}
 	if !r.wait(stopTimeout) {
-		p.t.Errorf("%s did not end within %v of SIGTERM", p.Name, stopTimeout)
+		p.t.Errorf("%s did not exit within %v of SIGTERM", p.Name, stopTimeout)
 		_ = r.cmd.Process.Kill()
 		r.wait(killTimeout)
 		return
@@ -233,9 +240,9 @@
 	killed := r.killed
 	p.mu.Unlock()
 	if r.code != 0 && !killed {
-		p.t.Errorf("%s ended with code %d", p.Name, r.code)
+		p.t.Errorf("%s exited with code %d", p.Name, r.code)
 	}
-	if alarm := p.log.alarmText(); len(alarm) > 0 {
-		p.t.Errorf("%s printed:\n%s", p.Name, alarm)
+	if failure := p.log.failureOutput(); len(failure) > 0 {
+		p.t.Errorf("%s printed:\n%s", p.Name, failure)
 	}
 }
--- a/internal/harness/parts.go
+++ b/internal/harness/standalone.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// NewProcess starts a program and ends it with the test. env is added to the
-// test's own environment.
+// NewProcess starts a program that is ended at the end of the test. Its
+// environment is that of the test process plus env.
 func NewProcess(t testing.TB, name, binary string, args, env []string) *Process {
 	t.Helper()
 	p := &Process{Name: name, VM: name, t: t, binary: binary, args: args, env: env}
@@ -19,8 +19,8 @@
 	return p
 }
 
-// NewLink returns a link to upstream, "ip:port", and the address to dial
-// instead; it is closed with the test.
+// NewLink returns a link to upstream ("ip:port") and the address to dial instead.
+// The link is closed at the end of the test.
 func NewLink(t testing.TB, name, upstream string) (link *Link, address string) {
 	t.Helper()
 	p, err := newProxy(newProxyServer(), name, upstream)
@@ -31,7 +31,7 @@
 	return &Link{t: t, proxies: []*proxy{p}}, p.address
 }
 
-// FreePort reserves an address on loopback for a process of the test.
+// FreePort reserves a loopback address for a process until the end of the test.
 func FreePort(t testing.TB) string {
 	t.Helper()
 	address, release, err := reservePort()
--- a/internal/harness/view.go
+++ b/internal/harness/view.go
@@ -16,14 +16,15 @@
 
 const pathVMs = "/v1/vms"
 
-// pair names who dials whom, by VM.
+// pair identifies the connections that the process on one VM dials to another VM.
 type pair struct {
 	from, to string
 }
 
-// views serves the platform to each process under a path of its own, and
-// there lists each peer at the address of a proxy that only this process
-// dials. So any two processes can be parted while both keep serving others.
+// views is an HTTP proxy to the platform that serves each VM under a separate
+// path. In the VM list for a VM, each peer that it may dial has the address of a
+// proxy that only this VM dials. Therefore the link between any two processes can
+// be cut while both stay connected to all others.
 type views struct {
 	platform *url.URL
 	server   *toxiproxy.ApiServer
@@ -46,13 +47,14 @@
 		proxies:  make(map[pair]*proxy),
 		forward: &httputil.ReverseProxy{
 			Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(base) },
-			// A cut reply is passed on as a cut.
+			// If the platform's reply breaks off, abort the client's connection too.
 			ErrorHandler: func(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) },
 		},
 	}, nil
 }
 
-// ServeHTTP implements http.Handler; the path begins with the VM that asks.
+// ServeHTTP implements http.Handler. The first path segment is the VM of the
+// requesting process.
 func (v *views) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	vm, rest, ok := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), "/"), "/")
 	if !ok {
@@ -60,13 +62,14 @@
 		return
 	}
 	if "/"+rest == pathVMs {
-		v.list(w, r, vm)
+		v.serveVMs(w, r, vm)
 		return
 	}
 	http.StripPrefix("/"+vm, v.forward).ServeHTTP(w, r)
 }
 
-func (v *views) list(w http.ResponseWriter, r *http.Request, vm string) {
+// serveVMs answers with the platform's list of VMs, with the proxies' addresses.
+func (v *views) serveVMs(w http.ResponseWriter, r *http.Request, vm string) {
 	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, v.platform.String()+pathVMs, nil)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -82,7 +85,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	for i := range vms {
-		if vms[i].Name == vm || !v.dials(vm, vms[i].Name) {
+		if vms[i].Name == vm || !v.mayDial(vm, vms[i].Name) {
 			continue
 		}
 		p, err := v.proxy(pair{from: vm, to: vms[i].Name}, vms[i].Address)
@@ -96,26 +99,27 @@
 	_ = json.NewEncoder(w).Encode(vms)
 }
 
-// dials tells whether one VM's process may dial another's; agents dial entries only.
-func (v *views) dials(from, to string) bool {
+// mayDial reports whether the process on one VM may dial that on another. Agents
+// dial only entries.
+func (v *views) mayDial(from, to string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.roles[from] != wire.RoleAgent || v.roles[to] == wire.RoleEntry
 }
 
-// proxy returns the proxy of a pair and makes it if need be.
+// proxy returns the proxy of a pair, creating it on first use.
 func (v *views) proxy(p pair, address string) (*proxy, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if made := v.proxies[p]; made != nil {
-		return made, nil
+	if existing := v.proxies[p]; existing != nil {
+		return existing, nil
 	}
-	made, err := newProxy(v.server, p.from+" to "+p.to, address)
+	existing, err := newProxy(v.server, p.from+" to "+p.to, address)
 	if err != nil {
 		return nil, err
 	}
-	v.proxies[p] = made
-	return made, nil
+	v.proxies[p] = existing
+	return existing, nil
 }
 
 func (v *views) close() {
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -12,13 +12,14 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-const pollDelay = 10 * time.Millisecond
+const pollInterval = 10 * time.Millisecond
 
-// Eventually polls until check returns nil, and returns its last error after timeout.
+// Eventually polls until check returns nil. After timeout it returns the last
+// error of check.
 func Eventually(timeout time.Duration, check func() error) error {
-	limit := time.NewTimer(timeout)
-	defer limit.Stop()
-	ticker := time.NewTicker(pollDelay)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		err := check()
@@ -26,14 +27,14 @@
 			return nil
 		}
 		select {
-		case <-limit.C:
+		case <-timer.C:
 			return errorx.Decorate(err, "after %v", timeout)
 		case <-ticker.C:
 		}
 	}
 }
 
-// Wait is Eventually that fails the test.
+// Wait calls Eventually and fails the test if it returns an error.
 func Wait(t testing.TB, timeout time.Duration, check func() error) {
 	t.Helper()
 	if err := Eventually(timeout, check); err != nil {
@@ -41,8 +42,9 @@
 	}
 }
 
-// into decodes the body of a good reply.
-func (r *Reply) into(dest any) error {
+// unmarshalOK decodes the JSON body of a reply with status 200 into dest. It
+// returns an error for any other reply.
+func (r *Reply) unmarshalOK(dest any) error {
 	if r.Err != nil {
 		return r.Err
 	}
@@ -52,8 +54,8 @@
 	return json.Unmarshal(r.Body, dest)
 }
 
-// WaitReady waits until all entries are ready and know all endpoints, and the
-// agents would run an order whose key is made from now on.
+// WaitReady waits until all entries are ready and can use all endpoints, and all
+// agents have run long enough to accept orders with new idempotency keys.
 func (f *Fleet) WaitReady(timeout time.Duration) {
 	f.t.Helper()
 	Wait(f.t, timeout, func() error {
@@ -66,16 +68,18 @@
 	})
 }
 
-// WaitEntry waits until one entry is ready and knows all endpoints.
+// WaitEntry waits for the conditions of WaitReady, but for one entry only.
 func (f *Fleet) WaitEntry(i int, timeout time.Duration) {
 	f.t.Helper()
 	Wait(f.t, timeout, func() error { return f.checkReady(i) })
 }
 
+// checkReady returns nil if an entry is ready and can use all endpoints, and the
+// agents have run long enough.
 func (f *Fleet) checkReady(i int) error {
 	e := f.entries[i]
 	if !e.Running() {
-		f.t.Fatalf("%s ended with code %d:\n%s", e.Name, e.current().code, e.log.tail(shownAlarm))
+		f.t.Fatalf("%s exited with code %d:\n%s", e.Name, e.currentRun().code, e.log.tail(maxFailureBytes))
 	}
 	ctx := f.t.Context()
 	if reply := f.Get(ctx, i, "/readyz", ""); reply.Err != nil || reply.Status != http.StatusOK {
@@ -92,27 +96,30 @@
 		}
 	}
 	if usable < len(f.endpoints) {
-		return errorx.IllegalState.New("%s knows %d of %d endpoints", e.Name, usable, len(f.endpoints))
+		return errorx.IllegalState.New("%s can use %d of %d endpoints", e.Name, usable, len(f.endpoints))
 	}
-	return f.checkOld(list)
+	return f.checkUptime(list)
 }
 
-// checkOld tells whether each agent is old enough to tell a new key from one
-// that its predecessor ran: two clocks may differ either way.
-func (f *Fleet) checkOld(list []entry.ProcessStatus) error {
-	oldEnough := 2 * f.Bundle.Policy.MaxClockSkew.D()
+// checkUptime returns nil if each agent has run long enough to distinguish a new
+// key from one that its predecessor may have run. That takes twice the maximum
+// clock skew, because the clocks of the key's creator and the agent may differ in
+// either direction.
+func (f *Fleet) checkUptime(list []entry.ProcessStatus) error {
+	minUptime := 2 * f.Bundle.Policy.MaxClockSkew.D()
 	for _, p := range list {
 		if p.Status == nil {
-			return errorx.IllegalState.New("%s gives no status: %s", p.Process, p.Missing)
+			return errorx.IllegalState.New("there is no status of %s: %s", p.Process, p.Missing)
 		}
-		if p.Status.Process.Role == wire.RoleAgent && p.Status.Uptime <= oldEnough {
-			return errorx.IllegalState.New("%s has just started", p.Process)
+		if p.Status.Process.Role == wire.RoleAgent && p.Status.Uptime <= minUptime {
+			return errorx.IllegalState.New("%s has not run long enough to accept new keys", p.Process)
 		}
 	}
 	return nil
 }
 
-// Unusable returns nil if an entry sees an endpoint draining, down or gone.
+// Unusable returns nil if an entry sees an endpoint as draining or down, or does
+// not list it.
 func (f *Fleet) Unusable(entryIndex int, endpoint string) error {
 	list, err := f.Status(f.t.Context(), entryIndex)
 	if err != nil {
@@ -120,14 +127,14 @@
 	}
 	for _, report := range list[0].Status.Peers {
 		if report.Endpoint == endpoint && !report.Down && !report.Draining {
-			return errorx.IllegalState.New("%s still takes work", endpoint)
+			return errorx.IllegalState.New("endpoint %s still accepts work", endpoint)
 		}
 	}
 	return nil
 }
 
-// InForce returns nil if every running process has the bundle's version in
-// force, as told through the first running entry.
+// InForce returns nil if every running process uses the given version of the
+// bundle, according to the status that the first running entry collects.
 func (f *Fleet) InForce(version uint64) error {
 	var list []entry.ProcessStatus
 	for i, e := range f.entries {
@@ -140,15 +147,15 @@
 		}
 		break
 	}
-	seen := make(map[string]uint64)
+	versions := make(map[string]uint64)
 	for _, p := range list {
 		if p.Status != nil {
-			seen[p.Process] = p.Status.Bundle.Version
+			versions[p.Process] = p.Status.Bundle.Version
 		}
 	}
 	for _, p := range f.Processes() {
-		if p.Running() && seen[p.Name] != version {
-			return errorx.IllegalState.New("%s has version %d, not %d", p.Name, seen[p.Name], version)
+		if p.Running() && versions[p.Name] != version {
+			return errorx.IllegalState.New("%s uses bundle version %d instead of %d", p.Name, versions[p.Name], version)
 		}
 	}
 	return nil
--- a/internal/harness/yaml.go
+++ b/internal/harness/yaml.go
@@ -8,11 +8,11 @@
 	"github.com/mangostage/mangostage/bundle"
 )
 
-// YAML returns the fleet's bundle as an operator would write it, with a higher
-// version and changed by edit, which may be nil.
+// YAML returns the fleet's initial bundle in YAML with its version incremented,
+// and changed by edit unless that is nil.
 func (f *Fleet) YAML(edit func(*bundle.Bundle)) []byte {
 	f.t.Helper()
-	b := f.decode(f.yaml)
+	b := f.decodeBundle(f.yaml)
 	b.Version++
 	if edit != nil {
 		edit(b)
@@ -22,17 +22,17 @@
 	return text
 }
 
-func (f *Fleet) decode(text []byte) *bundle.Bundle {
+func (f *Fleet) decodeBundle(text []byte) *bundle.Bundle {
 	f.t.Helper()
 	b, err := bundle.Check(f.cfg.Deployment, text)
 	f.must(err)
 	return b
 }
 
-// planBundle decodes the bundle to start with and fits it to the endpoints that are
-// to be started.
-func (f *Fleet) planBundle() {
-	b := f.decode(f.cfg.Bundle)
+// prepareBundle sets the initial bundle: that of Config with the pools reduced to
+// the endpoints to start, and changed by Config.Edit.
+func (f *Fleet) prepareBundle() {
+	b := f.decodeBundle(f.cfg.Bundle)
 	for i := range b.Pools {
 		pool := &b.Pools[i]
 		n := f.cfg.endpoints(pool)
@@ -50,5 +50,5 @@
 	text, err := yaml.Marshal(b)
 	f.must(err)
 	f.yaml = text
-	f.Bundle = f.decode(text)
+	f.Bundle = f.decodeBundle(text)
 }
