--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -137,6 +137,8 @@
 // MintID returns a request ID signed with the fleet's key, as an entry issues it.
 func (f *Fleet) MintID(fields reqid.Fields) string { return reqid.Mint(f.fleetKey, fields) }
 
+// startPlatform starts the platform stand-in with the bundle published, and with
+// Config.ProxyPeers also the server of the views.
 func (f *Fleet) startPlatform() {
 	f.Platform = fake.NewPlatform(f.cfg.Platform)
 	f.must(f.Platform.Start(anyPort))
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -68,6 +68,7 @@
 	return f.singleLink(f.platformProxies, process)
 }
 
+// singleLink returns the link over the proxy with the given name.
 func (f *Fleet) singleLink(proxies map[string]*proxy, name string) *Link {
 	f.t.Helper()
 	p := proxies[name]
@@ -88,6 +89,7 @@
 	return nil
 }
 
+// vmAddress returns the peer address of a VM, or "" if there is no such VM.
 func (f *Fleet) vmAddress(vm string) string {
 	for _, v := range f.vms {
 		if v.Name == vm {
--- a/internal/harness/logs.go
+++ b/internal/harness/logs.go
@@ -28,8 +28,9 @@
 // failure text and the writes after it are kept separately as well, so that later
 // output cannot displace them.
 type logBuffer struct {
-	mu      sync.Mutex
-	buf     []byte
+	mu  sync.Mutex
+	buf []byte
+	// failure is the output from the first failure text on.
 	failure []byte
 	// failed means that a failure text has been written.
 	failed bool
--- a/internal/harness/view.go
+++ b/internal/harness/view.go
@@ -30,7 +30,8 @@
 	server   *toxiproxy.ApiServer
 	forward  *httputil.ReverseProxy
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// roles holds the role of each VM's process, by VM name.
 	roles   map[string]wire.Role
 	proxies map[pair]*proxy
 }
