--- a/fake/batch.go
+++ b/fake/batch.go
@@ -9,8 +9,9 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-// batcher runs generations as an engine does: before each step it fills free
-// places of the batch from the queue, then every member gains one token.
+// batcher simulates continuous batching: before each step it fills the free
+// slots of the batch from the queue, then generates one token for every
+// sequence of the batch.
 type batcher struct {
 	settings EngineSettings
 	counts   *counter
@@ -19,20 +20,22 @@
 	load     *loadHistory
 	crash    func()
 
-	mu      sync.Mutex
-	queue   waiting
-	batch   []*sequence
-	arrived uint64
-	wake    chan struct{}
+	mu    sync.Mutex
+	queue sequenceQueue
+	batch []*sequence
+	// lastArrival is the arrival number of the sequence queued last.
+	lastArrival uint64
+	wake        chan struct{}
 }
 
-// newcomer is a sequence and the time that its prompt takes.
-type newcomer struct {
+// admittedSequence is a sequence that has just joined the batch and the time
+// that the prefill of its prompt takes.
+type admittedSequence struct {
 	sequence *sequence
 	prefill  time.Duration
 }
 
-// add queues a new generation; it returns nil if the queue is full.
+// add queues a generation and returns its sequence, or nil if the queue is full.
 func (b *batcher) add(req endpoint.GenerateRequest) *sequence {
 	s := newSequence(req)
 	b.mu.Lock()
@@ -41,10 +44,10 @@
 	if limit > 0 && len(b.queue)+len(b.batch) >= limit+b.settings.Batch {
 		return nil
 	}
-	b.arrived++
-	s.arrival = b.arrived
+	b.lastArrival++
+	s.arrival = b.lastArrival
 	heap.Push(&b.queue, s)
-	b.report()
+	b.reportLoad()
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -52,44 +55,47 @@
 	return s
 }
 
-func (b *batcher) report() {
+// reportLoad updates the load that health replies report. The lock is held.
+func (b *batcher) reportLoad() {
 	b.load.replace(len(b.batch), len(b.queue))
 }
 
-// run steps until ctx ends.
+// run executes batch steps until ctx ends.
 func (b *batcher) run(ctx context.Context) {
 	next := time.Now()
 	for b.waitForWork(ctx) && b.faults.wait(ctx.Done()) {
 		admitted := b.admit()
-		took, share := b.stepTime(admitted)
-		next = later(next, time.Now()).Add(took)
+		duration, decodeShare := b.stepTime(admitted)
+		next = stepStart(next, time.Now()).Add(duration)
 		if !sleep(ctx, time.Until(next)) || !b.faults.wait(ctx.Done()) {
 			return
 		}
-		b.step(admitted, share)
+		b.step(admitted, decodeShare)
 	}
 }
 
-func later(a, b time.Time) time.Time {
-	// A step that begins right after the one before starts when that one
-	// should have ended, so that late timers do not add up.
-	if b.Sub(a) < time.Millisecond {
-		return a
+// stepStart returns the start time of a step. A step that follows the previous
+// one within 1 ms starts at that one's scheduled end, so that the delays of
+// late timers do not accumulate.
+func stepStart(scheduled, now time.Time) time.Time {
+	if now.Sub(scheduled) < time.Millisecond {
+		return scheduled
 	}
-	return b
+	return now
 }
 
-// waitForWork drops ended generations and blocks until there is another.
+// waitForWork drops ended generations and blocks until at least one is left to
+// run; it returns false if ctx ends first.
 func (b *batcher) waitForWork(ctx context.Context) bool {
 	for {
 		b.mu.Lock()
 		b.dropEnded()
-		work := len(b.batch) + len(b.queue)
+		pending := len(b.batch) + len(b.queue)
 		b.mu.Unlock()
 		if ctx.Err() != nil {
 			return false
 		}
-		if work > 0 {
+		if pending > 0 {
 			return true
 		}
 		select {
@@ -100,17 +106,19 @@
 	}
 }
 
+// dropEnded removes ended sequences from the batch and the queue. The lock is held.
 func (b *batcher) dropEnded() {
 	before := len(b.batch) + len(b.queue)
-	b.batch = running(b.batch)
-	b.queue = running(b.queue)
+	b.batch = filterRunning(b.batch)
+	b.queue = filterRunning(b.queue)
 	if len(b.batch)+len(b.queue) != before {
 		heap.Init(&b.queue)
-		b.report()
+		b.reportLoad()
 	}
 }
 
-func running(all []*sequence) []*sequence {
+// filterRunning filters all in place and returns the sequences still running.
+func filterRunning(all []*sequence) []*sequence {
 	kept := all[:0]
 	for _, s := range all {
 		if s.view().state == sequenceRunning {
@@ -121,11 +129,11 @@
 	return kept
 }
 
-// admit moves generations from the queue to the batch. One that crashes the
-// engine takes the whole batch with it.
-func (b *batcher) admit() []newcomer {
+// admit moves generations from the queue to the free slots of the batch. If
+// the input of one crashes the engine, the whole batch is lost.
+func (b *batcher) admit() []admittedSequence {
 	b.mu.Lock()
-	var admitted []newcomer
+	var admitted []admittedSequence
 	crash := false
 	for len(b.queue) > 0 && len(b.batch) < b.settings.Batch && !crash {
 		s, ok := heap.Pop(&b.queue).(*sequence)
@@ -134,10 +142,10 @@
 		}
 		b.batch = append(b.batch, s)
 		b.counts.start(s.request.Stage, s.marker)
-		admitted = append(admitted, newcomer{sequence: s, prefill: b.prefill(s)})
-		crash = b.faults.crashes(s.request.Input)
+		admitted = append(admitted, admittedSequence{sequence: s, prefill: b.prefill(s)})
+		crash = b.faults.shouldCrash(s.request.Input)
 	}
-	b.report()
+	b.reportLoad()
 	b.mu.Unlock()
 	if crash {
 		b.crash()
@@ -145,22 +153,23 @@
 	return admitted
 }
 
-// prefill is the time for the part of the prompt that is not cached.
+// prefill returns the prefill time: a fixed part and one for each prompt byte
+// that is not cached. It adds the prompt to the prefix cache.
 func (b *batcher) prefill(s *sequence) time.Duration {
 	prompt := append(canonical(s.request.Input), canonical(s.request.Previous)...)
 	hashes := endpoint.PrefixHashes(s.request.Model, prompt)
-	hits := b.cache.use(hashes)
+	hits := b.cache.access(hashes)
 	b.counts.update(func(c *Counts) {
 		c.CacheHits += hits
 		c.CacheMisses += len(hashes) - hits
 	})
-	fresh := len(prompt) - hits*endpoint.PrefixBlock
-	return b.settings.Prefill + time.Duration(fresh)*b.settings.PrefillPerByte
+	uncached := len(prompt) - hits*endpoint.PrefixBlock
+	return b.settings.Prefill + time.Duration(uncached)*b.settings.PrefillPerByte
 }
 
-// stepTime returns how long the next step takes and each member's share of
-// its decoding part.
-func (b *batcher) stepTime(admitted []newcomer) (took, share time.Duration) {
+// stepTime returns the duration of the next step and the share of its decoding
+// time that is charged to each sequence of the batch.
+func (b *batcher) stepTime(admitted []admittedSequence) (duration, decodeShare time.Duration) {
 	b.mu.Lock()
 	size := len(b.batch)
 	b.mu.Unlock()
@@ -169,30 +178,31 @@
 	}
 	factor := 1 + b.settings.Slowdown*float64(size-1)
 	decode := b.faults.scale(time.Duration(float64(b.settings.TokenTime) * factor))
-	took = decode
+	duration = decode
 	for _, n := range admitted {
-		took += b.faults.scale(n.prefill)
+		duration += b.faults.scale(n.prefill)
 	}
-	return took, decode / time.Duration(size)
+	return duration, decode / time.Duration(size)
 }
 
-// step gives every member a token.
-func (b *batcher) step(admitted []newcomer, share time.Duration) {
+// step charges the admitted sequences for their prefill, fails some of them at
+// the configured rate, and generates one token for every sequence of the batch.
+func (b *batcher) step(admitted []admittedSequence, decodeShare time.Duration) {
 	for _, n := range admitted {
-		n.sequence.charge(b.faults.scale(n.prefill))
-		if b.faults.fails() {
+		n.sequence.addCost(b.faults.scale(n.prefill))
+		if b.faults.shouldFail() {
 			n.sequence.end(sequenceFailed)
 		}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.batch {
-		s.step(share, func() { b.counts.finish(s.marker) })
+		s.step(decodeShare, func() { b.counts.finish(s.marker) })
 	}
 	b.dropEnded()
 }
 
-// reset drops all work.
+// reset drops all running and queued sequences.
 func (b *batcher) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -200,5 +210,5 @@
 		s.end(sequenceDropped)
 	}
 	b.batch, b.queue = nil, nil
-	b.report()
+	b.reportLoad()
 }
--- a/fake/config.go
+++ b/fake/config.go
@@ -18,41 +18,42 @@
 
 // Limits of the configuration service.
 const (
-	// MaxValue is the largest value in bytes.
+	// MaxValue is the size limit of a value in bytes.
 	MaxValue = 1 << 20
-	// DefaultConfigLimit is the number of calls a second above which the
-	// service refuses.
+	// DefaultConfigLimit is the default rate limit in calls a second; the
+	// service refuses the calls above it.
 	DefaultConfigLimit = 2000
 
-	maxWatch = time.Minute
+	maxWatchWait = time.Minute
 )
 
-// ConfigControl makes the configuration service fail; unset fields stay.
+// ConfigControl injects faults into the configuration service; unset fields
+// leave their setting unchanged.
 type ConfigControl struct {
-	// Down cuts every connection without a reply.
+	// Down closes every connection without a reply.
 	Down *bool `json:"down,omitempty"`
-	// Stale keeps serving what was published before it was set.
+	// Stale keeps serving the values published before it was set.
 	Stale *bool `json:"stale,omitempty"`
-	// HalfWritten serves the first half of each value's data.
+	// HalfWritten serves only the first half of each value's data.
 	HalfWritten *bool `json:"half_written,omitempty"`
-	// DelayMS holds each reply back.
+	// DelayMS delays each reply by this many milliseconds.
 	DelayMS *int `json:"delay_ms,omitempty"`
 }
 
-// CallCounts is what a service of the platform has seen.
+// CallCounts counts the calls to one service of the platform.
 type CallCounts struct {
-	// Total counts every call; a watch that waits is one.
+	// Total counts every call; a long-polling watch counts as one.
 	Total int `json:"total"`
-	// MaxPerSecond is the most calls in any one second.
+	// MaxPerSecond is the highest number of calls within any one second.
 	MaxPerSecond int `json:"max_per_second"`
-	// Waiting is the number of watches that wait now.
+	// Waiting is the number of watches that are blocked now.
 	Waiting int `json:"waiting"`
-	// Refused is the number of calls over the limit.
+	// Refused is the number of calls refused by the rate limit.
 	Refused int `json:"refused"`
 }
 
-// Config stands in for the configuration service. Its users can only read;
-// Publish is the operator's side.
+// Config stands in for the configuration service. Its clients can only read;
+// operators store values with Publish.
 type Config struct {
 	limit   int
 	rate    rateCounter
@@ -61,7 +62,7 @@
 
 	mu     sync.Mutex
 	values map[string]confsvc.Value
-	// stale, if set, is what is served in place of values.
+	// stale, if set, is served in place of values.
 	stale   map[string]confsvc.Value
 	down    bool
 	half    bool
@@ -86,7 +87,7 @@
 	return v.Revision
 }
 
-// Apply changes how the service fails.
+// Apply changes the injected faults.
 func (c *Config) Apply(control ConfigControl) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,33 +116,34 @@
 	}
 }
 
-// Counts returns what the service has seen.
+// Counts returns the counts of calls to the service.
 func (c *Config) Counts() CallCounts {
-	total, most := c.rate.figures()
+	total, maxPerSecond := c.rate.totals()
 	return CallCounts{
 		Total:        total,
-		MaxPerSecond: most,
+		MaxPerSecond: maxPerSecond,
 		Waiting:      int(c.waiting.Load()),
 		Refused:      int(c.refused.Load()),
 	}
 }
 
-// signal wakes the watches. The lock is held.
+// signal wakes the blocked watches. The lock is held.
 func (c *Config) signal() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// served is the service's state as one reader sees it.
-type served struct {
-	value   confsvc.Value
-	found   bool
-	down    bool
-	delay   time.Duration
+// readResult is a value and the faults that apply to a reply with it.
+type readResult struct {
+	value confsvc.Value
+	found bool
+	down  bool
+	delay time.Duration
+	// changed is closed at the next publication or change of faults.
 	changed <-chan struct{}
 }
 
-func (c *Config) look(name string) served {
+func (c *Config) read(name string) readResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	values := c.values
@@ -152,7 +154,7 @@
 	if c.half {
 		v.Data = v.Data[:len(v.Data)/2]
 	}
-	return served{value: v, found: found, down: c.down, delay: c.delay, changed: c.changed}
+	return readResult{value: v, found: found, down: c.down, delay: c.delay, changed: c.changed}
 }
 
 func (c *Config) routes(r chi.Router) {
@@ -161,7 +163,7 @@
 	r.Post("/control/config", serveApply(c.Apply))
 }
 
-func nameOf(r *http.Request) (string, error) { return url.PathUnescape(chi.URLParam(r, "name")) }
+func valueName(r *http.Request) (string, error) { return url.PathUnescape(chi.URLParam(r, "name")) }
 
 func (c *Config) serveRead(w http.ResponseWriter, r *http.Request) {
 	if c.rate.add(time.Now()) > c.limit {
@@ -170,17 +172,17 @@
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
 		return
 	}
-	name, err := nameOf(r)
+	name, err := valueName(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	after, wait, err := watchOf(r)
+	after, wait, err := watchParams(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	v := c.await(r.Context(), name, after, wait)
+	v := c.awaitRevision(r.Context(), name, after, wait)
 	if !sleep(r.Context(), v.delay) || v.down {
 		abort()
 	}
@@ -191,8 +193,8 @@
 	writeJSON(w, http.StatusOK, v.value)
 }
 
-// watchOf reads the parameters of a watch, both zero for a plain read.
-func watchOf(r *http.Request) (after uint64, wait time.Duration, err error) {
+// watchParams returns the parameters of a watch; both are zero for a plain read.
+func watchParams(r *http.Request) (after uint64, wait time.Duration, err error) {
 	query := r.URL.Query()
 	if !query.Has("wait_ms") {
 		return 0, 0, nil
@@ -205,13 +207,13 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	return after, min(time.Duration(ms)*time.Millisecond, maxWatch), nil
+	return after, min(time.Duration(ms)*time.Millisecond, maxWatchWait), nil
 }
 
-// await returns when the revision exceeds after, the service goes down, or
-// wait has passed.
-func (c *Config) await(ctx context.Context, name string, after uint64, wait time.Duration) served {
-	v := c.look(name)
+// awaitRevision blocks until the value's revision exceeds after, the service
+// goes down, wait has passed or ctx ends, and returns the value of that moment.
+func (c *Config) awaitRevision(ctx context.Context, name string, after uint64, wait time.Duration) readResult {
+	v := c.read(name)
 	if wait <= 0 {
 		return v
 	}
@@ -222,9 +224,9 @@
 	for v.value.Revision <= after && !v.down {
 		select {
 		case <-v.changed:
-			v = c.look(name)
+			v = c.read(name)
 		case <-timer.C:
-			return c.look(name)
+			return c.read(name)
 		case <-ctx.Done():
 			return v
 		}
@@ -233,7 +235,7 @@
 }
 
 func (c *Config) servePublish(w http.ResponseWriter, r *http.Request) {
-	name, err := nameOf(r)
+	name, err := valueName(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -250,7 +252,7 @@
 	writeJSON(w, http.StatusOK, confsvc.Value{Name: name, Revision: c.Publish(name, data)})
 }
 
-// serveApply decodes a control message and applies it.
+// serveApply returns a handler that decodes a control message and applies it.
 func serveApply[T any](apply func(T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var control T
--- a/fake/control.go
+++ b/fake/control.go
@@ -7,61 +7,69 @@
 	"time"
 )
 
-// ReplyFault is a way of spoiling replies.
+// ReplyFault is a fault injected into replies.
 type ReplyFault string
 
-// The ways of spoiling replies.
+// The faults of replies.
 const (
 	ReplyNormal ReplyFault = ""
-	// ReplyDelay holds the finished reply back for DelayMS.
+	// ReplyDelay delays the finished reply by DelayMS.
 	ReplyDelay ReplyFault = "delay"
 	// ReplyDuplicate sends the reply, or each token, twice.
 	ReplyDuplicate ReplyFault = "duplicate"
-	// ReplyTruncate cuts the connection in the middle of the reply.
+	// ReplyTruncate closes the connection in the middle of the reply.
 	ReplyTruncate ReplyFault = "truncate"
-	// ReplyForeign names another call in the reply.
+	// ReplyForeign puts the ID of another call into the reply.
 	ReplyForeign ReplyFault = "foreign"
 	// ReplyReorder swaps the first two tokens of a stream.
 	ReplyReorder ReplyFault = "reorder"
-	// ReplyGap leaves one token of a stream out.
+	// ReplyGap omits one token of a stream.
 	ReplyGap ReplyFault = "gap"
-	// ReplyUnclosed ends a stream in good order without its closing event.
+	// ReplyUnclosed ends a stream without an error and without its done event.
 	ReplyUnclosed ReplyFault = "unclosed"
 )
 
-// Control changes how an endpoint's stand-in behaves; unset fields stay.
+// Control injects faults into an endpoint's stand-in; unset fields leave their
+// setting unchanged.
 type Control struct {
-	// Stall freezes work and every reply but those to control requests.
+	// Stall blocks all work and all replies except those to control requests.
 	Stall *bool `json:"stall,omitempty"`
 	// Crash drops all connections and work at once.
 	Crash bool `json:"crash,omitempty"`
-	// DownForMS crashes and stays away for so many milliseconds.
+	// DownForMS crashes the stand-in and keeps it down for this many
+	// milliseconds.
 	DownForMS int `json:"down_for_ms,omitempty"`
-	// CrashOn crashes when an input that contains it starts to run.
-	CrashOn    *string  `json:"crash_on,omitempty"`
+	// CrashOn crashes the stand-in when a run starts whose input contains
+	// this text.
+	CrashOn *string `json:"crash_on,omitempty"`
+	// SlowFactor multiplies the duration of all work.
 	SlowFactor *float64 `json:"slow_factor,omitempty"`
 	// FailRate is the share of runs that end in an error.
 	FailRate *float64 `json:"fail_rate,omitempty"`
 	// RefuseRate is the share of calls refused without a run.
-	RefuseRate *float64    `json:"refuse_rate,omitempty"`
-	Reply      *ReplyFault `json:"reply,omitempty"`
-	// ReplyCount is the number of replies to spoil; zero means all.
+	RefuseRate *float64 `json:"refuse_rate,omitempty"`
+	// Reply is the fault of the replies that follow.
+	Reply *ReplyFault `json:"reply,omitempty"`
+	// ReplyCount is the number of replies with the fault; zero means all.
 	ReplyCount *int `json:"reply_count,omitempty"`
-	DelayMS    *int `json:"delay_ms,omitempty"`
+	// DelayMS is the delay of ReplyDelay in milliseconds.
+	DelayMS *int `json:"delay_ms,omitempty"`
 }
 
-// faults is the present state of what Control sets.
+// faults holds the currently injected faults, as set by Control.
 type faults struct {
-	mu         sync.Mutex
-	rng        *rand.Rand
-	stalled    chan struct{}
-	crashOn    string
-	slow       float64
-	failRate   float64
-	refuseRate float64
-	reply      ReplyFault
-	replyLeft  int
-	delay      time.Duration
+	mu  sync.Mutex
+	rng *rand.Rand
+	// stalled is non-nil while the stand-in is stalled, and closed when the
+	// stall ends.
+	stalled     chan struct{}
+	crashOn     string
+	slow        float64
+	failRate    float64
+	refuseRate  float64
+	reply       ReplyFault
+	repliesLeft int
+	delay       time.Duration
 }
 
 func newFaults(seed uint64) *faults {
@@ -80,9 +88,9 @@
 	set(&f.refuseRate, c.RefuseRate)
 	if c.Reply != nil {
 		f.reply = *c.Reply
-		f.replyLeft = 0
+		f.repliesLeft = 0
 	}
-	set(&f.replyLeft, c.ReplyCount)
+	set(&f.repliesLeft, c.ReplyCount)
 	if c.DelayMS != nil {
 		f.delay = time.Duration(*c.DelayMS) * time.Millisecond
 	}
@@ -104,7 +112,8 @@
 	}
 }
 
-// wait blocks while the stand-in is stalled; it returns false if done ends first.
+// wait blocks while the stand-in is stalled; it returns false if done is closed
+// first.
 func (f *faults) wait(done <-chan struct{}) bool {
 	for {
 		f.mu.Lock()
@@ -121,48 +130,55 @@
 	}
 }
 
-func (f *faults) crashes(input []byte) bool {
+// shouldCrash reports whether a run of the input crashes the stand-in.
+func (f *faults) shouldCrash(input []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashOn != "" && strings.Contains(string(input), f.crashOn)
 }
 
-// scale stretches a time by the slow factor.
+// scale multiplies d by the slow factor.
 func (f *faults) scale(d time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(float64(d) * f.slow)
 }
 
-// jittered spreads d evenly by the given share in both directions.
-func (f *faults) jittered(d time.Duration, share float64) time.Duration {
+// jittered returns a duration drawn uniformly from d ± ratio*d.
+func (f *faults) jittered(d time.Duration, ratio float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(float64(d) * (1 + share*(2*f.rng.Float64()-1)))
+	return time.Duration(float64(d) * (1 + ratio*(2*f.rng.Float64()-1)))
 }
 
-func (f *faults) fails() bool { return f.chance(func() float64 { return f.failRate }) }
+// shouldFail reports whether the next run fails, at FailRate.
+func (f *faults) shouldFail() bool { return f.drawRate(func() float64 { return f.failRate }) }
 
-func (f *faults) refuses() bool { return f.chance(func() float64 { return f.refuseRate }) }
+// shouldRefuse reports whether the next call is refused, at RefuseRate.
+func (f *faults) shouldRefuse() bool { return f.drawRate(func() float64 { return f.refuseRate }) }
 
-func (f *faults) chance(rate func() float64) bool {
+// drawRate returns true with the probability that rate returns; it calls rate
+// with the lock held.
+func (f *faults) drawRate(rate func() float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := rate()
 	return r > 0 && f.rng.Float64() < r
 }
 
-// lucky draws with a fixed chance.
-func (f *faults) lucky(chance float64) bool { return f.chance(func() float64 { return chance }) }
+// draw returns true with the given probability.
+func (f *faults) draw(probability float64) bool {
+	return f.drawRate(func() float64 { return probability })
+}
 
-// nextReply returns the fault of the next reply and its delay.
+// nextReply returns the fault of the next reply and the delay for ReplyDelay.
 func (f *faults) nextReply() (ReplyFault, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fault := f.reply
-	if fault != ReplyNormal && f.replyLeft > 0 {
-		f.replyLeft--
-		if f.replyLeft == 0 {
+	if fault != ReplyNormal && f.repliesLeft > 0 {
+		f.repliesLeft--
+		if f.repliesLeft == 0 {
 			f.reply = ReplyNormal
 		}
 	}
--- a/fake/counts.go
+++ b/fake/counts.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// Counts is what a stand-in for an endpoint has seen. It outlives crashes. It
-// is the ground truth against which outcomes are compared.
+// Counts holds what an endpoint's stand-in has received and run. The counts
+// survive crashes: they are the ground truth against which tests compare the
+// outcomes that clients were given.
 type Counts struct {
 	// Arrivals is the number of requests that asked for a run or a resumption.
 	Arrivals int `json:"arrivals"`
@@ -19,15 +20,17 @@
 	TotalFinishes int            `json:"total_finishes"`
 	// StageStarts counts starts by stage, then marker.
 	StageStarts map[string]map[string]int `json:"stage_starts"`
-	// Cancelled is the number of runs and waiting calls ended by a cancel.
+	// Cancelled is the number of runs and queued calls ended by a cancel
+	// request, or by the end of the resume window of a generation without a
+	// reader.
 	Cancelled int `json:"cancelled"`
 	Refused   int `json:"refused"`
 	Resumed   int `json:"resumed"`
 	Crashes   int `json:"crashes"`
 	// OrdersToLoad is the number of accepted orders to load a model.
 	OrdersToLoad int `json:"orders_to_load"`
-	// StaleRefused and StaleAccepted count orders below the highest fencing
-	// number seen.
+	// StaleRefused and StaleAccepted count orders whose fencing number was
+	// below the highest one seen.
 	StaleRefused  int `json:"stale_refused"`
 	StaleAccepted int `json:"stale_accepted"`
 	// CacheHits and CacheMisses count prefix blocks.
@@ -35,7 +38,7 @@
 	CacheMisses int `json:"cache_misses"`
 }
 
-// counter guards Counts.
+// counter is a Counts guarded by a mutex.
 type counter struct {
 	mu sync.Mutex
 	c  Counts
@@ -78,7 +81,7 @@
 	})
 }
 
-// snapshot returns a copy that shares nothing.
+// snapshot returns a deep copy.
 func (c *counter) snapshot() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,15 +95,15 @@
 	return out
 }
 
-// marked is the part of an input by which runs are counted.
-type marked struct {
+// markedInput is the part of an input that identifies it in Counts.
+type markedInput struct {
 	Order  string `json:"order"`
 	Marker string `json:"marker"`
 }
 
-// markerOf returns the input's "order", else its "marker", else nothing.
+// markerOf returns the input's "order", else its "marker", else an empty string.
 func markerOf(input json.RawMessage) string {
-	var m marked
+	var m markedInput
 	if err := json.Unmarshal(input, &m); err != nil {
 		return ""
 	}
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -17,36 +17,39 @@
 	defaultResumeWindow = 2 * time.Second
 )
 
-// EngineSettings shape an Engine.
+// EngineSettings configure an Engine.
 type EngineSettings struct {
 	Common `yaml:",inline"`
-	// Batch is the number of generations that run together; zero means 16.
+	// Batch is the number of generations in a full batch; zero means 16.
 	Batch int `arg:"--batch" yaml:"batch" help:"generations that run together"`
-	// TokenTime is the time of one step of a batch of one.
+	// TokenTime is the duration of a step with a batch of one.
 	TokenTime time.Duration `arg:"--token-time" yaml:"token_time" help:"time of one step of a batch of one"`
-	// Slowdown is the share of TokenTime that each further member adds to a step.
+	// Slowdown is the share of TokenTime that each further generation in the
+	// batch adds to a step.
 	Slowdown float64 `arg:"--slowdown" yaml:"slowdown" help:"share of the token time that each further batch member adds"`
-	// Prefill and PrefillPerByte are the time for a prompt, the latter for
-	// what is not cached.
+	// Prefill is the fixed time to process a prompt; PrefillPerByte is added
+	// for each prompt byte that is not cached.
 	Prefill        time.Duration `arg:"--prefill" yaml:"prefill" help:"fixed time for a prompt"`
 	PrefillPerByte time.Duration `arg:"--prefill-per-byte" yaml:"prefill_per_byte" help:"time for a prompt byte that is not cached"`
-	// CacheBlocks is the size of the prefix cache; zero turns it off.
+	// CacheBlocks is the size of the prefix cache in blocks; zero disables it.
 	CacheBlocks int `arg:"--cache-blocks" yaml:"cache_blocks" help:"size of the prefix cache in blocks"`
-	// EventLag is how late cache events are published; EventLoss is the
-	// share that is never published.
+	// EventLag is the delay of cache events; EventLoss is the share of events
+	// that are never published.
 	EventLag  time.Duration `arg:"--event-lag" yaml:"event_lag" help:"delay of cache events"`
 	EventLoss float64       `arg:"--event-loss" yaml:"event_loss" help:"share of cache events that are lost"`
-	// ResumeWindow is how long an unread generation is kept; zero means 2 s.
+	// ResumeWindow is how long a generation without a reader is kept; zero
+	// means 2 s.
 	ResumeWindow time.Duration `arg:"--resume-window" yaml:"resume_window" help:"time that a cut stream is kept"`
-	// Models are loaded from the start.
+	// Models are the models loaded at the start.
 	Models []string `arg:"--models" yaml:"models" help:"models loaded at the start"`
-	// MaxModels bounds the loaded models, the oldest gives way; zero sets no limit.
+	// MaxModels limits the loaded models: the one loaded first is unloaded for
+	// a new one. Zero sets no limit.
 	MaxModels int `arg:"--max-models" yaml:"max_models" help:"models held at once"`
-	// RequireModel refuses calls for models that are not loaded.
+	// RequireModel makes the engine refuse calls for models that are not loaded.
 	RequireModel bool `arg:"--require-model" yaml:"require_model" help:"refuse calls for models that are not loaded"`
 	// LoadTime is the time to load a model.
 	LoadTime time.Duration `arg:"--load-time" yaml:"load_time" help:"time to load a model"`
-	// IgnoreFence accepts every order whatever its fencing number.
+	// IgnoreFence makes the engine accept orders with a stale fencing number.
 	IgnoreFence bool `arg:"--ignore-fence" yaml:"ignore_fence" help:"accept orders with an old fencing number"`
 }
 
@@ -55,13 +58,13 @@
 	node
 	settings EngineSettings
 	batcher  *batcher
-	orders   *orderBook
+	orders   *orderHandler
 	cache    *prefixCache
 	stop     context.CancelFunc
 	stopped  chan struct{}
 
 	mu sync.Mutex
-	// streams are the generations that can be read, by call.
+	// streams holds the generations that can be streamed or resumed, by call ID.
 	streams map[string]*sequence
 }
 
@@ -82,8 +85,8 @@
 		r.Get(endpoint.PathCacheEvents, e.serveCacheEvents)
 	})
 	e.onReset = e.reset
-	e.orders = newOrderBook(s, e.counts)
-	e.cache = newPrefixCache(s.CacheBlocks, s.EventLag, func() bool { return e.faults.lucky(s.EventLoss) })
+	e.orders = newOrderHandler(s, e.counts)
+	e.cache = newPrefixCache(s.CacheBlocks, s.EventLag, func() bool { return e.faults.draw(s.EventLoss) })
 	e.batcher = &batcher{
 		settings: s,
 		counts:   e.counts,
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// Close cuts every connection and stops for good.
+// Close closes every connection and stops the engine for good.
 func (e *Engine) Close() {
 	e.host.Close()
 	if e.stop != nil {
@@ -119,7 +122,7 @@
 	}
 }
 
-// reset loses what a crash loses.
+// reset drops the state that a crash loses.
 func (e *Engine) reset() {
 	e.batcher.reset()
 	e.cache.clear()
@@ -154,7 +157,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// drop ends a generation and forgets it.
+// drop cancels and removes the generation of a call.
 func (e *Engine) drop(call string) {
 	e.mu.Lock()
 	s := e.streams[call]
@@ -176,9 +179,9 @@
 	if s == nil {
 		return
 	}
-	if lifeOf(r).Err() != nil {
+	if serverContext(r).Err() != nil {
 		// The engine crashed while this call was being queued, perhaps after
-		// the queue was emptied: no crashed engine goes on with its work.
+		// the crash emptied the queue; the generation must not run on.
 		s.end(sequenceDropped)
 		abort()
 	}
@@ -189,16 +192,17 @@
 	stream.run(r.Context())
 }
 
-// sequenceFor returns the generation to stream, or replies and returns nil.
+// sequenceFor returns the generation to stream; if there is none, it replies
+// with the reason and returns nil.
 func (e *Engine) sequenceFor(w http.ResponseWriter, req endpoint.GenerateRequest) *sequence {
 	if req.ResumeFrom > 0 {
 		return e.resume(w, req)
 	}
-	if !e.orders.holds(req.Model) {
+	if !e.orders.canRun(req.Model) {
 		e.refuse(w, req.Call, "model is not loaded")
 		return nil
 	}
-	if e.faults.refuses() {
+	if e.faults.shouldRefuse() {
 		e.refuse(w, req.Call, "overloaded")
 		return nil
 	}
@@ -213,6 +217,8 @@
 	return s
 }
 
+// resume returns the generation of an earlier call; if the engine no longer
+// has it or has not got as far, it replies with an error and returns nil.
 func (e *Engine) resume(w http.ResponseWriter, req endpoint.GenerateRequest) *sequence {
 	e.mu.Lock()
 	s := e.streams[req.Call]
@@ -225,7 +231,8 @@
 	return s
 }
 
-// detach keeps an unread generation for the resume window.
+// detach removes a reader of s; if no reader follows within the resume window,
+// the generation is dropped.
 func (e *Engine) detach(s *sequence) {
 	abandoned := s.detach()
 	time.AfterFunc(e.settings.ResumeWindow, func() {
@@ -235,7 +242,7 @@
 	})
 }
 
-// forget drops s, but not a later generation of the same call.
+// forget drops s, but leaves a later generation of the same call.
 func (e *Engine) forget(s *sequence) {
 	e.mu.Lock()
 	current := e.streams[s.request.Call] == s
--- a/fake/fake_test.go
+++ b/fake/fake_test.go
@@ -25,7 +25,7 @@
 	return endpoint.Call{ID: id, Stage: "s", Input: input}
 }
 
-func within(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -49,8 +49,8 @@
 	return f, p
 }
 
-// patience bounds each wait of these tests.
-const patience = 10 * time.Second
+// waitTimeout limits each wait for a condition.
+const waitTimeout = 10 * time.Second
 
 func TestExpectedIgnoresEncoding(t *testing.T) {
 	a := fake.Expected("s", json.RawMessage(`{"a": "<"}`), nil)
@@ -69,7 +69,7 @@
 	for i := range 12 {
 		wg.Go(func() {
 			c := call(fmt.Sprint(i))
-			got, err := p.Run(within(t), c, nil)
+			got, err := p.Run(testContext(t), c, nil)
 			assert.Check(t, err)
 			assert.Check(t, string(got.Output) == string(fake.ExpectedEngine("s", c.Input, nil, 0)))
 			assert.Check(t, got.Cost > 0)
@@ -77,7 +77,7 @@
 	}
 	wg.Wait()
 	assert.Equal(t, e.Counts().TotalFinishes, 12)
-	h, err := p.Health(within(t))
+	h, err := p.Health(testContext(t))
 	assert.NilError(t, err)
 	assert.Assert(t, h.Up && h.InFlight == 0 && h.Queued == 0)
 }
@@ -87,7 +87,7 @@
 	run := func(id, prompt string) time.Duration {
 		input, err := json.Marshal(prompt)
 		assert.NilError(t, err)
-		got, err := p.Run(within(t), endpoint.Call{ID: id, Input: input}, nil)
+		got, err := p.Run(testContext(t), endpoint.Call{ID: id, Input: input}, nil)
 		assert.NilError(t, err)
 		return got.Cost
 	}
@@ -105,11 +105,11 @@
 		Concurrency: 1,
 		Time:        time.Hour,
 	})
-	ctx, cancel := context.WithCancel(within(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	var wg sync.WaitGroup
 	for i := range 2 {
 		wg.Go(func() { _, _ = p.Run(ctx, call(fmt.Sprint(i)), nil) })
-		testwait.For(t, patience, func() bool { h, _ := p.Health(ctx); return h.InFlight+h.Queued == i+1 })
+		testwait.For(t, waitTimeout, func() bool { h, _ := p.Health(ctx); return h.InFlight+h.Queued == i+1 })
 	}
 	_, err := p.Run(ctx, call("third"), nil)
 	var failed *endpoint.Error
@@ -117,7 +117,7 @@
 	assert.Assert(t, failed.Refused)
 	cancel()
 	wg.Wait()
-	testwait.For(t, patience, func() bool { h, _ := p.Health(within(t)); return h.InFlight+h.Queued == 0 })
+	testwait.For(t, waitTimeout, func() bool { h, _ := p.Health(testContext(t)); return h.InFlight+h.Queued == 0 })
 	assert.Equal(t, f.Counts().TotalFinishes, 0)
 }
 
@@ -125,16 +125,16 @@
 	f, p := startService(t, fake.ServiceSettings{Common: fake.Common{RestartAfter: time.Millisecond}})
 	url := f.URL()
 	remote := fake.Remote{URL: url}
-	_, err := p.Run(within(t), call("before"), nil)
+	_, err := p.Run(testContext(t), call("before"), nil)
 	assert.NilError(t, err)
-	assert.NilError(t, remote.Apply(within(t), fake.Control{CrashOn: ptr("poison")}))
-	_, err = p.Run(within(t), call("poison"), nil)
+	assert.NilError(t, remote.Apply(testContext(t), fake.Control{CrashOn: ptr("poison")}))
+	_, err = p.Run(testContext(t), call("poison"), nil)
 	assert.Assert(t, err != nil)
-	testwait.For(t, patience, func() bool {
-		_, err := p.Run(within(t), call("after"), nil)
+	testwait.For(t, waitTimeout, func() bool {
+		_, err := p.Run(testContext(t), call("after"), nil)
 		return err == nil
 	})
-	counts, err := remote.Counts(within(t))
+	counts, err := remote.Counts(testContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, f.URL(), url)
 	assert.Equal(t, counts.Crashes, 1)
@@ -152,16 +152,16 @@
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 	assert.Equal(t, f.Counts().TotalStarts, 0)
 	f.Apply(fake.Control{Stall: ptr(false)})
-	_, err = p.Run(within(t), call("y"), nil)
+	_, err = p.Run(testContext(t), call("y"), nil)
 	assert.NilError(t, err)
 }
 
 func TestHealthLags(t *testing.T) {
 	f, p := startService(t, fake.ServiceSettings{Common: fake.Common{HealthLag: time.Hour}, Time: time.Hour})
-	ctx, cancel := context.WithCancel(within(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	var wg sync.WaitGroup
 	wg.Go(func() { _, _ = p.Run(ctx, call("x"), nil) })
-	testwait.For(t, patience, func() bool { return f.Counts().TotalStarts == 1 })
+	testwait.For(t, waitTimeout, func() bool { return f.Counts().TotalStarts == 1 })
 	h, err := p.Health(ctx)
 	assert.NilError(t, err)
 	assert.Equal(t, h.InFlight, 0)
@@ -174,19 +174,19 @@
 	assert.NilError(t, p.Start(loopback))
 	defer p.Close()
 	remote := fake.Remote{URL: p.URL()}
-	revision, err := remote.Publish(within(t), confsvc.ValueBundle, []byte("data"))
+	revision, err := remote.Publish(testContext(t), confsvc.ValueBundle, []byte("data"))
 	assert.NilError(t, err)
 	assert.Equal(t, revision, uint64(1))
-	_, err = remote.Publish(within(t), "big", make([]byte, fake.MaxValue+1))
+	_, err = remote.Publish(testContext(t), "big", make([]byte, fake.MaxValue+1))
 	assert.ErrorContains(t, err, "413")
-	assert.NilError(t, remote.SetVMs(within(t), []confsvc.VM{{Name: "a", Address: "b"}}))
-	assert.NilError(t, remote.ApplyVMs(within(t), fake.VMControl{Stale: ptr(true)}))
-	assert.NilError(t, remote.SetVMs(within(t), nil))
+	assert.NilError(t, remote.SetVMs(testContext(t), []confsvc.VM{{Name: "a", Address: "b"}}))
+	assert.NilError(t, remote.ApplyVMs(testContext(t), fake.VMControl{Stale: ptr(true)}))
+	assert.NilError(t, remote.SetVMs(testContext(t), nil))
 	client := confsvc.NewClient(p.URL(), time.Second)
-	vms, err := client.List(within(t))
+	vms, err := client.List(testContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, len(vms), 1)
-	counts, err := remote.PlatformCounts(within(t))
+	counts, err := remote.PlatformCounts(testContext(t))
 	assert.NilError(t, err)
 	assert.Equal(t, counts.VMs.Total, 1)
 	assert.Equal(t, counts.Total, 0)
--- a/fake/host.go
+++ b/fake/host.go
@@ -12,17 +12,18 @@
 
 var errs = errorx.NewNamespace("fake")
 
-// ErrListen is returned when an address cannot be listened on.
+// ErrListen is returned when listening on an address fails.
 var ErrListen = errs.NewType("listen")
 
 const (
-	reopenEvery       = 20 * time.Millisecond
+	reopenInterval    = 20 * time.Millisecond
 	readHeaderTimeout = 10 * time.Second
 )
 
-type lifeKey struct{}
+type serverContextKey struct{}
 
-// host serves HTTP on one address and can vanish from it for a while.
+// host is an HTTP server on a fixed address that can simulate a crash: it goes
+// down for a while and then returns.
 type host struct {
 	handler http.Handler
 
@@ -30,10 +31,11 @@
 	addr   string
 	server *http.Server
 	closed bool
-	// end ends the present life, which lasts until the next crash or Close.
-	end context.CancelFunc
-	// held keeps the port while nothing listens on it.
-	held func()
+	// cancel ends the server's context, which lasts until the next crash or
+	// Close.
+	cancel context.CancelFunc
+	// releasePort frees the port reserved while the server is down.
+	releasePort func()
 }
 
 func (h *host) start(addr string) error {
@@ -48,66 +50,68 @@
 		return ErrListen.Wrap(err, "listen on %s", addr)
 	}
 	h.addr = ln.Addr().String()
-	life, end := context.WithCancel(context.Background())
-	h.end = end
+	ctx, cancel := context.WithCancel(context.Background())
+	h.cancel = cancel
 	h.server = &http.Server{
 		Handler:           h.handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		BaseContext: func(net.Listener) context.Context {
-			return context.WithValue(life, lifeKey{}, life)
+			return context.WithValue(ctx, serverContextKey{}, ctx)
 		},
 	}
 	go func(s *http.Server) { _ = s.Serve(ln) }(h.server)
 	return nil
 }
 
-// URL returns the base URL, which a crash does not change.
+// URL returns the base URL, which stays the same across crashes.
 func (h *host) URL() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return "http://" + h.addr
 }
 
-// lifeOf returns the context that ends when the server of r crashes or closes
-// and, unlike the request's own, outlives the caller's connection.
-func lifeOf(r *http.Request) context.Context {
-	life, ok := r.Context().Value(lifeKey{}).(context.Context)
+// serverContext returns the context that ends when the server of r crashes or
+// closes. Unlike the request's own context, it outlives the caller's connection.
+func serverContext(r *http.Request) context.Context {
+	ctx, ok := r.Context().Value(serverContextKey{}).(context.Context)
 	if !ok {
 		return r.Context()
 	}
-	return life
+	return ctx
 }
 
-// crash cuts every connection, stops listening and comes back on the same
-// address after downFor. It calls lose before anybody can see the crash.
-func (h *host) crash(downFor time.Duration, lose func()) {
+// crash closes every connection, stops listening and listens on the same
+// address again after downFor. It calls reset before any client can notice the
+// crash.
+func (h *host) crash(downFor time.Duration, reset func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed || h.server == nil {
 		return
 	}
-	h.end()
-	lose()
+	h.cancel()
+	reset()
 	_ = h.server.Close()
 	h.server = nil
-	h.held = reserve(h.addr)
+	h.releasePort = reservePort(h.addr)
 	time.AfterFunc(downFor, h.reopen)
 }
 
+// reopen listens again after a crash and retries while the address is taken.
 func (h *host) reopen() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
 		return
 	}
-	h.held()
+	h.releasePort()
 	if err := h.open(h.addr); err != nil {
-		h.held = reserve(h.addr)
-		time.AfterFunc(reopenEvery, h.reopen)
+		h.releasePort = reservePort(h.addr)
+		time.AfterFunc(reopenInterval, h.reopen)
 	}
 }
 
-// Close cuts every connection and stops for good.
+// Close closes every connection and stops the server for good.
 func (h *host) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,11 +120,11 @@
 	}
 	h.closed = true
 	if h.server != nil {
-		h.end()
+		h.cancel()
 		_ = h.server.Close()
 		return
 	}
-	if h.held != nil {
-		h.held()
+	if h.releasePort != nil {
+		h.releasePort()
 	}
 }
--- a/fake/load.go
+++ b/fake/load.go
@@ -10,14 +10,14 @@
 	inFlight, queued int
 }
 
-// loadHistory reports load as it was some time ago.
+// loadHistory reports the load with a fixed delay.
 type loadHistory struct {
 	lag time.Duration
 
 	mu               sync.Mutex
 	inFlight, queued int
-	// samples are in order of time; the first is the latest that is older
-	// than lag.
+	// samples are ordered by time; after prune the first is the latest one
+	// that is at least lag old, if there is one.
 	samples []loadSample
 }
 
@@ -27,17 +27,18 @@
 func (h *loadHistory) add(inFlight, queued int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.set(h.inFlight+inFlight, h.queued+queued)
+	h.record(h.inFlight+inFlight, h.queued+queued)
 }
 
 // replace sets the load.
 func (h *loadHistory) replace(inFlight, queued int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.set(inFlight, queued)
+	h.record(inFlight, queued)
 }
 
-func (h *loadHistory) set(inFlight, queued int) {
+// record sets the load and, if reports lag, adds a sample. The lock is held.
+func (h *loadHistory) record(inFlight, queued int) {
 	h.inFlight, h.queued = inFlight, queued
 	if h.lag == 0 {
 		return
@@ -47,7 +48,8 @@
 	h.prune(now)
 }
 
-// prune drops samples that a later one older than the lag replaces.
+// prune drops the samples before the latest one that is at least lag old. The
+// lock is held.
 func (h *loadHistory) prune(now time.Time) {
 	keep := 0
 	for i, s := range h.samples {
@@ -59,7 +61,8 @@
 	h.samples = h.samples[keep:]
 }
 
-// reported returns the load as it was a lag ago.
+// reported returns the load delayed by lag; it is zero until lag after the
+// first change.
 func (h *loadHistory) reported() (inFlight, queued int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -74,7 +77,7 @@
 	return h.samples[0].inFlight, h.samples[0].queued
 }
 
-// waiting returns the number of calls waiting now.
+// waiting returns the number of calls queued now, without lag.
 func (h *loadHistory) waiting() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/fake/node.go
+++ b/fake/node.go
@@ -24,26 +24,29 @@
 
 // Common are the settings that all stand-ins for endpoints share.
 type Common struct {
-	// Seed feeds jitter and random faults.
+	// Seed is the seed of jitter and random faults.
 	Seed uint64 `arg:"--seed" yaml:"seed" help:"seed of jitter and random faults"`
-	// RestartAfter is the time that a crash lasts; zero means 200 ms.
+	// RestartAfter is the downtime after a crash; zero means 200 ms.
 	RestartAfter time.Duration `arg:"--restart-after" yaml:"restart_after" help:"time from a crash to the return"`
-	// MaxQueue refuses calls when so many wait; zero sets no limit.
+	// MaxQueue limits the queued calls: further calls are refused. Zero sets
+	// no limit.
 	MaxQueue int `arg:"--max-queue" yaml:"max_queue" help:"refuse calls when so many wait"`
-	// HealthLag is how old the load figures in health replies are.
+	// HealthLag is the age of the load figures in health replies.
 	HealthLag time.Duration `arg:"--health-lag" yaml:"health_lag" help:"age of reported load"`
-	// OnCrash runs in place of a crash and restart, to end a process.
+	// OnCrash, if set, is called in place of a simulated crash and restart, for
+	// example to end the process.
 	OnCrash func() `arg:"-" yaml:"-"`
 }
 
-// node is what an Engine and a Service have in common.
+// node is the common part of Engine and Service: control requests, faults,
+// counts and load.
 type node struct {
 	host
 	common Common
 	counts *counter
 	faults *faults
 	load   *loadHistory
-	// onReset, if set, loses what a crash loses.
+	// onReset, if set, drops the state that a crash loses.
 	onReset func()
 }
 
@@ -56,14 +59,15 @@
 	r.Post(PathControl, n.serveControl)
 	r.Get(PathCounts, n.serveCounts)
 	r.Group(func(work chi.Router) {
-		work.Use(n.stallable)
+		work.Use(n.waitWhileStalled)
 		routes(work)
 	})
 	n.handler = r
 }
 
-// stallable holds requests back while the stand-in is stalled.
-func (n *node) stallable(next http.Handler) http.Handler {
+// waitWhileStalled is a middleware that blocks requests while the stand-in is
+// stalled.
+func (n *node) waitWhileStalled(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !n.faults.wait(r.Context().Done()) {
 			panic(http.ErrAbortHandler)
@@ -72,16 +76,16 @@
 	})
 }
 
-// Counts returns what the stand-in has seen.
+// Counts returns a copy of the stand-in's counts.
 func (n *node) Counts() Counts { return n.counts.snapshot() }
 
-// Apply changes the stand-in's behaviour.
+// Apply changes the injected faults and crashes the stand-in if c asks for it.
 func (n *node) Apply(c Control) {
 	n.faults.apply(c)
-	n.obeyCrash(c)
+	n.crashIfRequested(c)
 }
 
-func (n *node) obeyCrash(c Control) {
+func (n *node) crashIfRequested(c Control) {
 	if c.DownForMS > 0 {
 		n.crashFor(time.Duration(c.DownForMS) * time.Millisecond)
 		return
@@ -91,7 +95,8 @@
 	}
 }
 
-// Crash drops all connections and work; the stand-in returns by itself.
+// Crash drops all connections and work; the stand-in restarts by itself after
+// RestartAfter. If OnCrash is set, it only calls that.
 func (n *node) Crash() {
 	if n.common.OnCrash != nil {
 		n.common.OnCrash()
@@ -113,8 +118,8 @@
 	})
 }
 
-// serveControl applies everything before it replies, but for a crash, which
-// would cut the reply.
+// serveControl applies all faults before it replies, except for a crash, which
+// follows the reply because it would otherwise cut it off.
 func (n *node) serveControl(w http.ResponseWriter, r *http.Request) {
 	var c Control
 	if err := readJSON(r, &c); err != nil {
@@ -124,7 +129,7 @@
 	n.faults.apply(c)
 	w.WriteHeader(http.StatusNoContent)
 	_ = http.NewResponseController(w).Flush()
-	n.obeyCrash(c)
+	n.crashIfRequested(c)
 }
 
 func (n *node) serveCounts(w http.ResponseWriter, _ *http.Request) {
@@ -145,11 +150,11 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// refuse says that a call did not run.
-func (n *node) refuse(w http.ResponseWriter, call, why string) {
+// refuse replies that a call was refused and did not run.
+func (n *node) refuse(w http.ResponseWriter, call, reason string) {
 	n.counts.update(func(c *Counts) { c.Refused++ })
-	writeJSON(w, http.StatusServiceUnavailable, endpoint.FailureReply{Call: call, Refused: true, Error: why})
+	writeJSON(w, http.StatusServiceUnavailable, endpoint.FailureReply{Call: call, Refused: true, Error: reason})
 }
 
-// abort cuts the connection without a reply.
+// abort closes the connection without completing the reply.
 func abort() { panic(http.ErrAbortHandler) }
--- a/fake/orders.go
+++ b/fake/orders.go
@@ -9,26 +9,26 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-// orderBook takes orders and holds the models and the role they lead to.
-type orderBook struct {
+// orderHandler executes orders and holds the loaded models and the role.
+type orderHandler struct {
 	settings EngineSettings
 	counts   *counter
 
 	mu sync.Mutex
-	// highest is the highest fencing number seen. It outlives crashes.
+	// highest is the highest fencing number seen. It survives crashes.
 	highest uint64
 	models  []string
 	role    string
-	// epoch grows with each crash, which ends all loading.
+	// epoch is incremented by each crash; loads of earlier epochs are dropped.
 	epoch int
 }
 
-func newOrderBook(s EngineSettings, counts *counter) *orderBook {
-	return &orderBook{settings: s, counts: counts, models: slices.Clone(s.Models)}
+func newOrderHandler(s EngineSettings, counts *counter) *orderHandler {
+	return &orderHandler{settings: s, counts: counts, models: slices.Clone(s.Models)}
 }
 
-// serve implements endpoint.PathOrders.
-func (b *orderBook) serve(w http.ResponseWriter, r *http.Request) {
+// serve handles requests to endpoint.PathOrders.
+func (b *orderHandler) serve(w http.ResponseWriter, r *http.Request) {
 	var order endpoint.Order
 	if err := readJSON(r, &order); err != nil {
 		writeJSON(w, http.StatusBadRequest, endpoint.FailureReply{Error: err.Error()})
@@ -45,15 +45,16 @@
 		b.counts.update(func(c *Counts) { c.StaleAccepted++ })
 	}
 	b.highest = max(b.highest, order.Fence)
-	b.obey(w, order)
+	b.execute(w, order)
 }
 
-func (b *orderBook) obey(w http.ResponseWriter, order endpoint.Order) {
+// execute carries out an order and replies. The lock is held.
+func (b *orderHandler) execute(w http.ResponseWriter, order endpoint.Order) {
 	switch order.Kind {
 	case endpoint.OrderLoad:
 		b.counts.update(func(c *Counts) { c.OrdersToLoad++ })
 		epoch := b.epoch
-		time.AfterFunc(b.settings.LoadTime, func() { b.loaded(order.Model, epoch) })
+		time.AfterFunc(b.settings.LoadTime, func() { b.finishLoad(order.Model, epoch) })
 	case endpoint.OrderUnload:
 		b.models = slices.DeleteFunc(b.models, func(m string) bool { return m == order.Model })
 	case endpoint.OrderRole:
@@ -65,7 +66,9 @@
 	writeJSON(w, http.StatusOK, order)
 }
 
-func (b *orderBook) loaded(model string, epoch int) {
+// finishLoad adds a model whose loading started in the given epoch, unless the
+// engine has crashed since. Above MaxModels it unloads the model loaded first.
+func (b *orderHandler) finishLoad(model string, epoch int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if epoch != b.epoch || slices.Contains(b.models, model) {
@@ -77,8 +80,8 @@
 	}
 }
 
-// holds tells whether calls for the model can run.
-func (b *orderBook) holds(model string) bool {
+// canRun reports whether calls for the model can run.
+func (b *orderHandler) canRun(model string) bool {
 	if model == "" || !b.settings.RequireModel {
 		return true
 	}
@@ -87,14 +90,14 @@
 	return slices.Contains(b.models, model)
 }
 
-func (b *orderBook) list() []string {
+func (b *orderHandler) list() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.models)
 }
 
-// reset forgets what orders have changed, as a crash does.
-func (b *orderBook) reset() {
+// reset restores the initial models and role, as a crash does.
+func (b *orderHandler) reset() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.epoch++
--- a/fake/output.go
+++ b/fake/output.go
@@ -1,6 +1,6 @@
-// Package fake holds stand-ins for what surrounds the product: model engines,
-// plain services, the configuration service and the list of VMs. Tests and the
-// development command run them on loopback and make them fail on demand.
+// Package fake provides stand-ins for the external systems: model engines,
+// plain services, the configuration service and the platform's list of VMs.
+// Tests and the development command run them on loopback and inject faults.
 package fake
 
 import (
@@ -24,9 +24,9 @@
 	"meter", "north", "outage", "pulse", "quartz", "relay", "storm", "volt",
 }
 
-// Output is what every stand-in answers. It depends on the stage and its
-// inputs alone, so that a test can tell that an answer is whole and its own
-// whichever endpoint gave it.
+// Output is the output of every run of a stand-in. It depends only on the stage
+// and its inputs, so that a test can verify that an answer is complete and
+// belongs to its request, whichever endpoint gave it.
 type Output struct {
 	Stage string `json:"stage"`
 	// Echo is a hash of the stage, the input and the previous output.
@@ -35,7 +35,7 @@
 	Tokens int    `json:"tokens"`
 }
 
-// Expected returns the output of a Service for these inputs.
+// Expected returns the output of a Service for the given inputs.
 func Expected(stage string, input, previous json.RawMessage) json.RawMessage {
 	d := digest(stage, input, previous)
 	return render(stage, d, d.tokens(serviceTokens))
@@ -62,8 +62,8 @@
 
 type inputDigest [sha256.Size]byte
 
-// digest hashes the inputs in the form that the product's encoders leave them
-// in, so that white space and escaping make no difference.
+// digest hashes the inputs in canonical form, the one that the product's
+// encoders write, so that white space and escaping make no difference.
 func digest(stage string, input, previous json.RawMessage) inputDigest {
 	var buf bytes.Buffer
 	buf.WriteString(stage)
@@ -74,8 +74,8 @@
 	return sha256.Sum256(buf.Bytes())
 }
 
-// canonical returns raw without white space and with HTML escaped; null and
-// absent values are the same.
+// canonical returns raw without white space and with HTML escaped. It returns
+// nil for null, as for an absent value.
 func canonical(raw json.RawMessage) []byte {
 	var compact, escaped bytes.Buffer
 	if err := json.Compact(&compact, raw); err != nil {
@@ -88,7 +88,7 @@
 	return escaped.Bytes()
 }
 
-// length is the number of tokens that a generation takes.
+// length returns the number of tokens of a generation.
 func (d inputDigest) length(maxTokens int) int {
 	n := minTokens + int(d[16])%tokenSpread
 	if maxTokens > 0 {
@@ -97,6 +97,7 @@
 	return n
 }
 
+// tokens returns n pseudo-random tokens that depend only on the digest.
 func (d inputDigest) tokens(n int) []string {
 	seed := binary.BigEndian.Uint64(d[:8])
 	tokens := make([]string, n)
--- a/fake/platform.go
+++ b/fake/platform.go
@@ -7,12 +7,12 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// PlatformSettings shape a Platform.
+// PlatformSettings configure a Platform.
 type PlatformSettings struct {
-	// ConfigLimit is the number of calls a second that the configuration
-	// service takes; zero means DefaultConfigLimit.
+	// ConfigLimit is the rate limit of the configuration service in calls a
+	// second; zero means DefaultConfigLimit.
 	ConfigLimit int `arg:"--config-limit" yaml:"config_limit" help:"calls a second that the configuration service takes"`
-	// VMLag is how late changes show in the list of VMs.
+	// VMLag is the delay after which changes show in the list of VMs.
 	VMLag time.Duration `arg:"--vm-lag" yaml:"vm_lag" help:"delay of changes in the list of VMs"`
 }
 
@@ -44,7 +44,7 @@
 // Start listens on addr, such as "127.0.0.1:0".
 func (p *Platform) Start(addr string) error { return p.start(addr) }
 
-// Counts returns what both services have seen.
+// Counts returns the counts of calls to both services.
 func (p *Platform) Counts() PlatformCounts {
 	return PlatformCounts{CallCounts: p.Config.Counts(), VMs: p.VMs.Counts()}
 }
--- a/fake/prefix.go
+++ b/fake/prefix.go
@@ -8,42 +8,44 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-// maxCacheEvents is how many events an engine holds for its readers.
+// maxCacheEvents is the number of events that an engine keeps for its readers.
 const maxCacheEvents = 4096
 
-// prefixCache holds prompt blocks, least recently used out first.
+// prefixCache is an LRU cache of prompt blocks that publishes its changes as
+// events.
 type prefixCache struct {
 	capacity int
 	lag      time.Duration
-	// lose tells whether the next event gets lost.
-	lose func() bool
+	// loseEvent reports whether the next event is lost.
+	loseEvent func() bool
 
 	mu     sync.Mutex
 	blocks map[uint64]*list.Element
-	// recent has the latest used block at its front.
-	recent *list.List
+	// lru has the most recently used block at its front.
+	lru    *list.List
 	seq    uint64
 	events []timedEvent
 }
 
+// timedEvent is an event and the time from which readers can see it.
 type timedEvent struct {
 	at    time.Time
 	event endpoint.CacheEvent
 }
 
-func newPrefixCache(capacity int, lag time.Duration, lose func() bool) *prefixCache {
+func newPrefixCache(capacity int, lag time.Duration, loseEvent func() bool) *prefixCache {
 	return &prefixCache{
-		capacity: capacity,
-		lag:      lag,
-		lose:     lose,
-		blocks:   make(map[uint64]*list.Element),
-		recent:   list.New(),
+		capacity:  capacity,
+		lag:       lag,
+		loseEvent: loseEvent,
+		blocks:    make(map[uint64]*list.Element),
+		lru:       list.New(),
 	}
 }
 
-// use looks a prompt's blocks up, keeps them, and returns how many leading
-// ones were there.
-func (c *prefixCache) use(hashes []uint64) int {
+// access looks up the blocks of a prompt, adds the missing ones, and returns
+// the number of leading blocks that were cached.
+func (c *prefixCache) access(hashes []uint64) int {
 	if c.capacity == 0 {
 		return 0
 	}
@@ -53,12 +55,12 @@
 	for hits < len(hashes) && c.blocks[hashes[hits]] != nil {
 		hits++
 	}
-	// The last block is touched first, so that a prefix is never evicted
-	// before what builds on it.
+	// Blocks are touched from last to first, so that a block is never evicted
+	// before the blocks that extend it.
 	for i := len(hashes) - 1; i >= 0; i-- {
 		c.touch(hashes[i])
 	}
-	for c.recent.Len() > c.capacity {
+	for c.lru.Len() > c.capacity {
 		c.evict()
 	}
 	return hits
@@ -66,15 +68,15 @@
 
 func (c *prefixCache) touch(hash uint64) {
 	if e := c.blocks[hash]; e != nil {
-		c.recent.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
-	c.blocks[hash] = c.recent.PushFront(hash)
+	c.blocks[hash] = c.lru.PushFront(hash)
 	c.publish(endpoint.CacheAdded, hash)
 }
 
 func (c *prefixCache) evict() {
-	hash, ok := c.recent.Remove(c.recent.Back()).(uint64)
+	hash, ok := c.lru.Remove(c.lru.Back()).(uint64)
 	if !ok {
 		return
 	}
@@ -84,7 +86,7 @@
 
 func (c *prefixCache) publish(kind endpoint.CacheEventKind, hash uint64) {
 	c.seq++
-	if c.lose() {
+	if c.loseEvent() {
 		return
 	}
 	event := endpoint.CacheEvent{Seq: c.seq, Kind: kind, Prefix: hash}
@@ -94,7 +96,7 @@
 	}
 }
 
-// after returns the published events above a sequence number.
+// after returns the visible events with a sequence number above seq.
 func (c *prefixCache) after(seq uint64) []endpoint.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,10 +110,10 @@
 	return events
 }
 
-// clear forgets all blocks without an event, as a crash does.
+// clear removes all blocks without an event, as a crash does.
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.blocks = make(map[uint64]*list.Element)
-	c.recent.Init()
+	c.lru.Init()
 }
--- a/fake/rate.go
+++ b/fake/rate.go
@@ -10,19 +10,20 @@
 	rateSlot  = time.Second / rateSlots
 )
 
-// rateCounter counts calls over the last second, and the most that any second
-// has seen.
+// rateCounter counts the calls of the last second in a sliding window, and
+// keeps the highest count of any second and the total.
 type rateCounter struct {
 	mu    sync.Mutex
 	slots [rateSlots]int
-	// latest is the number of the slot that was last written.
+	// latest is the number of the newest slot, counted from the Unix epoch.
 	latest int64
 	sum    int
 	max    int
 	total  int
 }
 
-// add counts a call at now and returns the calls of the second that ends now.
+// add counts a call at now and returns the number of calls in the second that
+// ends now.
 func (r *rateCounter) add(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +35,7 @@
 	return r.sum
 }
 
-// advance empties the slots that have gone out of the second.
+// advance clears the slots that have left the window. The lock is held.
 func (r *rateCounter) advance(slot int64) {
 	steps := min(slot-r.latest, rateSlots)
 	for i := range steps {
@@ -45,8 +46,8 @@
 	r.latest = max(r.latest, slot)
 }
 
-// figures returns the total and the most in any one second.
-func (r *rateCounter) figures() (total, maxPerSecond int) {
+// totals returns the total and the highest count of any one second.
+func (r *rateCounter) totals() (total, maxPerSecond int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.total, r.max
--- a/fake/remote.go
+++ b/fake/remote.go
@@ -14,42 +14,44 @@
 
 const remoteTimeout = 5 * time.Second
 
-// ErrRemote is returned when a stand-in in another process does not obey.
+// ErrRemote is returned when a control request fails or is refused by the
+// stand-in.
 var ErrRemote = errs.NewType("remote")
 
-// remoteClient keeps no connection, which a crash could have killed meanwhile.
+// remoteClient reuses no connection: a crash of the stand-in may have closed an
+// idle one.
 var remoteClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Remote controls a stand-in by its URL, also one in another process.
+// Remote controls a stand-in over HTTP; it may run in another process.
 type Remote struct {
 	URL string
 }
 
-// Apply changes the behaviour of an endpoint's stand-in.
+// Apply changes the injected faults of an endpoint's stand-in.
 func (r Remote) Apply(ctx context.Context, c Control) error {
 	return r.send(ctx, http.MethodPost, PathControl, c)
 }
 
-// Counts returns what an endpoint's stand-in has seen.
+// Counts returns the counts of an endpoint's stand-in.
 func (r Remote) Counts(ctx context.Context) (Counts, error) {
 	var c Counts
 	err := r.do(ctx, http.MethodGet, PathCounts, nil, &c)
 	return c, err
 }
 
-// PlatformCounts returns what a Platform has seen.
+// PlatformCounts returns the counts of a Platform.
 func (r Remote) PlatformCounts(ctx context.Context) (PlatformCounts, error) {
 	var c PlatformCounts
 	err := r.do(ctx, http.MethodGet, PathCounts, nil, &c)
 	return c, err
 }
 
-// ApplyConfig changes how a Platform's configuration service fails.
+// ApplyConfig changes the injected faults of a Platform's configuration service.
 func (r Remote) ApplyConfig(ctx context.Context, c ConfigControl) error {
 	return r.send(ctx, http.MethodPost, "/control/config", c)
 }
 
-// ApplyVMs changes how a Platform's list of VMs fails.
+// ApplyVMs changes the injected faults of a Platform's list of VMs.
 func (r Remote) ApplyVMs(ctx context.Context, c VMControl) error {
 	return r.send(ctx, http.MethodPost, "/control/vms", c)
 }
--- a/fake/reserve_linux.go
+++ b/fake/reserve_linux.go
@@ -5,11 +5,11 @@
 	"syscall"
 )
 
-// reserve binds the address without listening and returns a function that
-// lets it go. It guards against another socket of a busy test taking the port
-// while a stand-in is down, which shows as a stand-in that never comes back:
-// the kernel gives a bound port to nobody else and refuses connections to it.
-func reserve(addr string) func() {
+// reservePort binds the address without listening and returns a function that
+// releases it. Otherwise another socket of a busy test could take the port
+// while a stand-in is down, and the stand-in would never come back. The kernel
+// does not give a bound port to any other socket and refuses connections to it.
+func reservePort(addr string) func() {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || !at.Addr().Unmap().Is4() {
 		return func() {}
--- a/fake/reserve_other.go
+++ b/fake/reserve_other.go
@@ -2,5 +2,5 @@
 
 package fake
 
-// reserve does nothing where bound ports cannot be held in a portable way.
-func reserve(string) func() { return func() {} }
+// reservePort does nothing: there is no portable way to reserve a port.
+func reservePort(string) func() { return func() {} }
--- a/fake/sequence.go
+++ b/fake/sequence.go
@@ -13,11 +13,11 @@
 	sequenceRunning sequenceState = iota
 	sequenceDone
 	sequenceFailed
-	// sequenceDropped generations were cancelled or died in a crash.
+	// sequenceDropped means cancelled, or lost in a crash.
 	sequenceDropped
 )
 
-// sequence is one generation: what is to come, what is there, who reads it.
+// sequence is one generation: its tokens, its progress and its readers.
 type sequence struct {
 	request endpoint.GenerateRequest
 	marker  string
@@ -30,9 +30,10 @@
 	state     sequenceState
 	cost      time.Duration
 	readers   int
-	// detached counts how often the last reader went away.
-	detached int
-	changed  chan struct{}
+	// detachCount is the number of calls of detach.
+	detachCount int
+	// changed is closed at the next change.
+	changed chan struct{}
 }
 
 func newSequence(req endpoint.GenerateRequest) *sequence {
@@ -46,8 +47,8 @@
 	}
 }
 
-// view is a sequence at one moment.
-type view struct {
+// sequenceView is the state of a sequence at one moment.
+type sequenceView struct {
 	generated int
 	state     sequenceState
 	cost      time.Duration
@@ -55,14 +56,15 @@
 	changed <-chan struct{}
 }
 
-func (s *sequence) view() view {
+func (s *sequence) view() sequenceView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return view{generated: s.generated, state: s.state, cost: s.cost, changed: s.changed}
+	return sequenceView{generated: s.generated, state: s.state, cost: s.cost, changed: s.changed}
 }
 
-// step adds one token. It calls last before anybody can see the last one.
-func (s *sequence) step(cost time.Duration, last func()) {
+// step adds one token. If it is the last one, step calls onLast before any
+// reader can see it.
+func (s *sequence) step(cost time.Duration, onLast func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.state != sequenceRunning {
@@ -72,7 +74,7 @@
 	s.generated++
 	if s.generated == len(s.tokens) {
 		s.state = sequenceDone
-		last()
+		onLast()
 	}
 	s.signal()
 }
@@ -89,54 +91,58 @@
 	return true
 }
 
+// signal wakes the readers. The lock is held.
 func (s *sequence) signal() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
+// attach adds a reader.
 func (s *sequence) attach() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers++
 }
 
-// detach returns a function that tells whether nobody has read since.
+// detach removes a reader and returns a function that reports whether the
+// sequence has no reader and has had none since.
 func (s *sequence) detach() (abandoned func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers--
-	s.detached++
-	mine := s.detached
+	s.detachCount++
+	count := s.detachCount
 	return func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.readers == 0 && s.detached == mine
+		return s.readers == 0 && s.detachCount == count
 	}
 }
 
-// waiting orders sequences by priority, then arrival, for container/heap.
-type waiting []*sequence
+// sequenceQueue is a heap.Interface of sequences ordered by priority, then
+// arrival.
+type sequenceQueue []*sequence
 
-func (w waiting) Len() int { return len(w) }
+func (w sequenceQueue) Len() int { return len(w) }
 
-func (w waiting) Less(i, j int) bool {
+func (w sequenceQueue) Less(i, j int) bool {
 	if w[i].request.Priority != w[j].request.Priority {
 		return w[i].request.Priority > w[j].request.Priority
 	}
 	return w[i].arrival < w[j].arrival
 }
 
-func (w waiting) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (w sequenceQueue) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
 
 // Push adds x, which is a *sequence.
-func (w *waiting) Push(x any) {
+func (w *sequenceQueue) Push(x any) {
 	if s, ok := x.(*sequence); ok {
 		*w = append(*w, s)
 	}
 }
 
 // Pop removes the last element.
-func (w *waiting) Pop() any {
+func (w *sequenceQueue) Pop() any {
 	old := *w
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -144,8 +150,8 @@
 	return last
 }
 
-// charge adds cost that comes with no token.
-func (s *sequence) charge(cost time.Duration) {
+// addCost adds a cost that does not belong to a token, such as the prefill.
+func (s *sequence) addCost(cost time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cost += cost
--- a/fake/service.go
+++ b/fake/service.go
@@ -13,20 +13,21 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-// ServiceSettings shape a Service.
+// ServiceSettings configure a Service.
 type ServiceSettings struct {
 	Common `yaml:",inline"`
 	// Time is the mean service time.
 	Time time.Duration `arg:"--time" yaml:"time" help:"mean service time"`
-	// Jitter spreads the service time evenly by this share both ways.
+	// Jitter is the relative spread of the service time, 0 to 1: times are
+	// drawn uniformly from Time*(1-Jitter) to Time*(1+Jitter).
 	Jitter float64 `arg:"--jitter" yaml:"jitter" help:"spread of the service time, 0 to 1"`
 	// Concurrency is the number of calls that run at once; zero sets no limit.
 	Concurrency int `arg:"--concurrency" yaml:"concurrency" help:"calls that run at once"`
 }
 
-// Service stands in for a plain service, encoder, retriever or reranker. A
-// call that has begun runs to its end also when its caller has gone away,
-// unless it is cancelled.
+// Service stands in for a plain service, encoder, retriever or reranker. A call
+// that has started to run completes even if its caller disconnects, unless it
+// is cancelled.
 type Service struct {
 	node
 	settings ServiceSettings
@@ -82,11 +83,11 @@
 		return
 	}
 	f.counts.update(func(c *Counts) { c.Arrivals++ })
-	if f.faults.refuses() || f.full() {
+	if f.faults.shouldRefuse() || f.full() {
 		f.refuse(w, req.Call, "overloaded")
 		return
 	}
-	ctx, cancel := context.WithCancel(lifeOf(r))
+	ctx, cancel := context.WithCancel(serverContext(r))
 	defer cancel()
 	defer f.track(req.Call, cancel)()
 	if !f.acquire(ctx, r.Context()) {
@@ -100,7 +101,7 @@
 	return f.common.MaxQueue > 0 && f.load.waiting() >= f.common.MaxQueue
 }
 
-// track makes a call cancellable until the returned function is called.
+// track registers a call for cancellation until the returned function is called.
 func (f *Service) track(call string, cancel context.CancelFunc) func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,8 +113,8 @@
 	}
 }
 
-// acquire waits for a slot while both contexts last.
-func (f *Service) acquire(ctx, caller context.Context) bool {
+// acquire waits for a free slot; it returns false if either context ends first.
+func (f *Service) acquire(ctx, callerCtx context.Context) bool {
 	if f.slots == nil {
 		f.load.add(1, 0)
 		return true
@@ -124,7 +125,7 @@
 		f.load.add(1, -1)
 		return true
 	case <-ctx.Done():
-	case <-caller.Done():
+	case <-callerCtx.Done():
 	}
 	f.load.add(0, -1)
 	return false
@@ -140,24 +141,24 @@
 func (f *Service) run(ctx context.Context, w http.ResponseWriter, req endpoint.RunRequest) {
 	marker := markerOf(req.Input)
 	f.counts.start(req.Stage, marker)
-	if f.faults.crashes(req.Input) {
+	if f.faults.shouldCrash(req.Input) {
 		f.Crash()
 		abort()
 	}
-	took := f.faults.scale(f.faults.jittered(f.settings.Time, f.settings.Jitter))
-	if !sleep(ctx, took) || !f.faults.wait(ctx.Done()) {
+	duration := f.faults.scale(f.faults.jittered(f.settings.Time, f.settings.Jitter))
+	if !sleep(ctx, duration) || !f.faults.wait(ctx.Done()) {
 		abort()
 	}
-	if f.faults.fails() {
+	if f.faults.shouldFail() {
 		writeJSON(w, http.StatusInternalServerError, endpoint.FailureReply{Call: req.Call, Error: "the run failed"})
 		return
 	}
 	f.counts.finish(marker)
 	output := Expected(req.Stage, req.Input, req.Previous)
-	f.reply(ctx, w, endpoint.RunReply{Call: req.Call, Output: output, Cost: int64(took)})
+	f.reply(ctx, w, endpoint.RunReply{Call: req.Call, Output: output, Cost: int64(duration)})
 }
 
-// reply sends the finished reply, spoiled as told.
+// reply sends the finished reply with the fault that is set for it.
 func (f *Service) reply(ctx context.Context, w http.ResponseWriter, reply endpoint.RunReply) {
 	fault, delay := f.faults.nextReply()
 	if fault == ReplyForeign {
@@ -180,7 +181,7 @@
 	_, _ = w.Write(body)
 }
 
-// truncate sends half of body and cuts the connection.
+// truncate sends half of body and closes the connection.
 func truncate(w http.ResponseWriter, body []byte) {
 	w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 	_, _ = w.Write(body[:len(body)/2])
@@ -201,7 +202,7 @@
 	_ = buf.Flush()
 }
 
-// sleep waits for d; it returns false if ctx ends first.
+// sleep waits for d and returns true, or false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/fake/stream.go
+++ b/fake/stream.go
@@ -10,17 +10,20 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-// tokenStream writes a generation as server-sent events, spoiled as told.
+// tokenStream writes a generation as server-sent events, with a fault if one is
+// set for the reply.
 type tokenStream struct {
 	w        http.ResponseWriter
 	faults   *faults
 	sequence *sequence
-	next     int
-	fault    ReplyFault
-	delay    time.Duration
+	// next is the index of the next token to write.
+	next  int
+	fault ReplyFault
+	// delay is the delay of the done event for ReplyDelay.
+	delay time.Duration
 }
 
-// run writes until the generation ends or ctx does.
+// run writes events until the generation or ctx ends.
 func (t *tokenStream) run(ctx context.Context) {
 	t.w.Header().Set("Content-Type", "text/event-stream")
 	t.flush()
@@ -32,10 +35,10 @@
 		t.writeTokens(v.generated)
 		switch v.state {
 		case sequenceDone:
-			t.done(ctx, v)
+			t.writeDone(ctx, v)
 			return
 		case sequenceFailed:
-			t.event(endpoint.EventError, endpoint.FailureReply{Call: t.call(), Error: "the generation failed"})
+			t.writeEvent(endpoint.EventError, endpoint.FailureReply{Call: t.callID(), Error: "the generation failed"})
 			return
 		case sequenceDropped:
 			abort()
@@ -48,8 +51,8 @@
 	}
 }
 
-// call is the ID to name in events.
-func (t *tokenStream) call() string {
+// callID returns the call ID to write into events.
+func (t *tokenStream) callID() string {
 	if t.fault == ReplyForeign {
 		return "foreign/" + t.sequence.request.Call
 	}
@@ -66,6 +69,7 @@
 	t.flush()
 }
 
+// writeToken writes one token, subject to the fault.
 func (t *tokenStream) writeToken(seq int) {
 	half := len(t.sequence.tokens) / 2
 	switch {
@@ -77,24 +81,24 @@
 	case t.fault == ReplyReorder && seq < 2:
 		seq = 1 - seq
 	case t.fault == ReplyDuplicate:
-		t.token(seq)
+		t.writeTokenEvent(seq)
 	}
-	t.token(seq)
+	t.writeTokenEvent(seq)
 }
 
-func (t *tokenStream) token(seq int) {
-	t.event(endpoint.EventToken, endpoint.TokenEvent{Call: t.call(), Seq: seq, Text: t.sequence.tokens[seq]})
+func (t *tokenStream) writeTokenEvent(seq int) {
+	t.writeEvent(endpoint.EventToken, endpoint.TokenEvent{Call: t.callID(), Seq: seq, Text: t.sequence.tokens[seq]})
 }
 
-func (t *tokenStream) done(ctx context.Context, v view) {
+func (t *tokenStream) writeDone(ctx context.Context, v sequenceView) {
 	switch t.fault {
 	case ReplyUnclosed:
 		return
 	case ReplyDelay:
 		sleep(ctx, t.delay)
 	}
-	t.event(endpoint.EventDone, endpoint.DoneEvent{
-		Call:   t.call(),
+	t.writeEvent(endpoint.EventDone, endpoint.DoneEvent{
+		Call:   t.callID(),
 		Tokens: v.generated,
 		Output: render(t.sequence.request.Stage, t.sequence.digest, t.sequence.tokens),
 		Cost:   int64(v.cost),
@@ -102,7 +106,7 @@
 	t.flush()
 }
 
-func (t *tokenStream) event(name string, data any) {
+func (t *tokenStream) writeEvent(name string, data any) {
 	body, err := json.Marshal(data)
 	if err != nil {
 		panic("fake: encode event: " + err.Error())
--- a/fake/vmlist.go
+++ b/fake/vmlist.go
@@ -11,18 +11,19 @@
 	"github.com/mangostage/mangostage/confsvc"
 )
 
-// VMControl makes the list of VMs fail; unset fields stay.
+// VMControl injects faults into the list of VMs; unset fields leave their
+// setting unchanged.
 type VMControl struct {
-	// Down cuts every connection without a reply.
+	// Down closes every connection without a reply.
 	Down *bool `json:"down,omitempty"`
-	// Stale keeps serving what was listed when it was set.
+	// Stale keeps serving the list that was visible when it was set.
 	Stale *bool `json:"stale,omitempty"`
-	// LagMS is how late changes show.
+	// LagMS is the delay after which changes show, in milliseconds.
 	LagMS *int `json:"lag_ms,omitempty"`
 }
 
-// VMList stands in for the platform's list of VMs. Changes show late; the
-// first list shows at once.
+// VMList stands in for the platform's list of VMs. Changes show after a lag,
+// but the first list shows at once.
 type VMList struct {
 	rate rateCounter
 
@@ -31,11 +32,12 @@
 	down bool
 	// stale, if set, is served in place of the history.
 	stale *[]confsvc.VM
-	// history is in order of time; the first shows already.
-	history []vmsAt
+	// history is ordered by time; its first entry is already visible.
+	history []vmListVersion
 }
 
-type vmsAt struct {
+// vmListVersion is a list of VMs and the time at which it was set.
+type vmListVersion struct {
 	at  time.Time
 	vms []confsvc.VM
 }
@@ -46,11 +48,12 @@
 func (l *VMList) Set(vms []confsvc.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.set(slices.Clone(vms))
+	l.addVersion(slices.Clone(vms))
 }
 
-func (l *VMList) set(vms []confsvc.VM) {
-	l.history = append(l.history, vmsAt{at: time.Now(), vms: vms})
+// addVersion appends a new list to the history. The lock is held.
+func (l *VMList) addVersion(vms []confsvc.VM) {
+	l.history = append(l.history, vmListVersion{at: time.Now(), vms: vms})
 }
 
 // SetState changes the state of one VM and reports whether it is listed.
@@ -66,11 +69,11 @@
 		return false
 	}
 	vms[i].State = state
-	l.set(vms)
+	l.addVersion(vms)
 	return true
 }
 
-// Apply changes how the list fails.
+// Apply changes the injected faults.
 func (l *VMList) Apply(c VMControl) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,19 +94,20 @@
 	}
 }
 
-// Counts returns what the list has seen.
+// Counts returns the counts of calls to the list.
 func (l *VMList) Counts() CallCounts {
-	total, most := l.rate.figures()
-	return CallCounts{Total: total, MaxPerSecond: most}
+	total, maxPerSecond := l.rate.totals()
+	return CallCounts{Total: total, MaxPerSecond: maxPerSecond}
 }
 
-// visible returns the list as it was a lag ago. The lock is held.
+// visible returns the list that clients see: the stale one if set, else the
+// list delayed by lag. The lock is held.
 func (l *VMList) visible() []confsvc.VM {
 	if l.stale != nil {
 		return *l.stale
 	}
-	limit := time.Now().Add(-l.lag)
-	for len(l.history) > 1 && !l.history[1].at.After(limit) {
+	cutoff := time.Now().Add(-l.lag)
+	for len(l.history) > 1 && !l.history[1].at.After(cutoff) {
 		l.history = l.history[1:]
 	}
 	if len(l.history) == 0 {
