--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,4 +1,5 @@
-// Package examples holds the bundles of two deployments, for trials and tests.
+// Package examples holds the bundles of two example deployments, for
+// development and tests.
 package examples
 
 import (
@@ -28,8 +29,9 @@
 	DomainRotterdam  = "rotterdam"
 )
 
-// CredentialPrefix followed by the name of an account or operator is its
-// bearer credential in the example bundles.
+// CredentialPrefix is the prefix of the bearer credentials in the example
+// bundles: a credential is the prefix followed by the name of the client account
+// or operator.
 const CredentialPrefix = "dev-"
 
 var (
@@ -46,15 +48,17 @@
 	return []string{Brunnhofer, Stroomwacht}
 }
 
-// Bundle returns the unsigned YAML bundle of a deployment, or ErrUnknownDeployment.
+// Bundle returns the unsigned YAML bundle of a deployment. For a name that is
+// not in Names the error is ErrUnknownDeployment.
 func Bundle(name string) ([]byte, error) {
 	if !slices.Contains(Names(), name) {
-		return nil, unknown(name)
+		return nil, unknownDeployment(name)
 	}
 	return files.ReadFile(name + ".yaml")
 }
 
-// Domains lists the failure domains of a deployment, or returns ErrUnknownDeployment.
+// Domains lists the failure domains of a deployment. For a name that is not in
+// Names the error is ErrUnknownDeployment.
 func Domains(name string) ([]string, error) {
 	switch name {
 	case Brunnhofer:
@@ -62,9 +66,9 @@
 	case Stroomwacht:
 		return []string{DomainAmsterdam1, DomainAmsterdam2, DomainRotterdam}, nil
 	}
-	return nil, unknown(name)
+	return nil, unknownDeployment(name)
 }
 
-func unknown(name string) error {
+func unknownDeployment(name string) error {
 	return ErrUnknownDeployment.New("no example deployment %q; known: %v", name, Names())
 }
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -11,9 +11,9 @@
 	"github.com/mangostage/mangostage/examples"
 )
 
-// deployments lists the services and endpoint counts of each deployment, and
-// the shared pools that both have.
-var deployments = map[string]map[string]int{
+// poolEndpoints is the number of endpoints of each pool by deployment; the last
+// three pools of each are the same in both.
+var poolEndpoints = map[string]map[string]int{
 	examples.Brunnhofer: {
 		"fitting-engines": 12, "catalogue": 3, "workshop-orders": 3, "billing": 5, "appointments": 5,
 		"encoders": 3, "retrievers": 3, "rerankers": 3,
@@ -34,7 +34,7 @@
 		for _, p := range b.Pools {
 			pools[p.Name] = p.Endpoints
 		}
-		assert.DeepEqual(t, pools, deployments[name])
+		assert.DeepEqual(t, pools, poolEndpoints[name])
 		assert.Equal(t, len(b.Pipelines), 7)
 		assert.Equal(t, len(b.Accounts), 5)
 		for _, a := range b.Accounts {
