--- a/internal/slopes/core_test.go
+++ b/internal/slopes/core_test.go
@@ -16,7 +16,8 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// newAgentCore returns a core that takes calls, with the bundle in force.
+// newAgentCore returns an agent's core that has applied the bundle and accepts
+// calls.
 func newAgentCore(b *bundle.Bundle) *agent.Core {
 	core := agent.NewCore(agent.CoreConfig{
 		Process:  wire.Process{Name: endpointName(0), Incarnation: incarnation, Role: wire.RoleAgent, Domain: domainName(0)},
@@ -33,7 +34,8 @@
 	return b
 }
 
-// runCall carries a call from its arrival to its answer and tells whether it ran.
+// runCall takes a call through the core from its arrival to its result and
+// reports whether it ran.
 func runCall(core *agent.Core, token agent.Token, call wire.StageCall, now time.Time) bool {
 	for _, effect := range core.Arrive(now, token, call) {
 		start, ok := effect.(agent.Start)
@@ -49,13 +51,13 @@
 	return false
 }
 
-// BenchmarkAgentCall is one call through the agent's core, by the number of
-// calls that it remembers.
+// BenchmarkAgentCall measures one call through the agent's core, by the number
+// of revoked calls that the core remembers.
 func BenchmarkAgentCall(b *testing.B) {
-	for _, held := range []int{0, 10_000, 60_000} {
-		b.Run(fmt.Sprint(held), func(b *testing.B) {
+	for _, revoked := range []int{0, 10_000, 60_000} {
+		b.Run(fmt.Sprint(revoked), func(b *testing.B) {
 			core := newAgentCore(testBundle(b, 10))
-			for i := range held {
+			for i := range revoked {
 				core.Revoke(epoch, wire.Revoke{ID: stageCall(i, 64).ID, Until: epoch.Add(time.Minute), Incarnation: incarnation})
 			}
 			calls := make([]wire.StageCall, 4096)
@@ -71,7 +73,7 @@
 				call.Identity.Value = call.ID.Request[4:]
 				if i%len(calls) == 0 {
 					b.StopTimer()
-					core = refilled(b, held, core, i)
+					core = renewCore(b, revoked, core, i)
 					b.StartTimer()
 				}
 				if runCall(core, agent.Token(i), call, epoch) {
@@ -84,20 +86,21 @@
 	}
 }
 
-// refilled replaces a core whose tables hold the calls of one round.
-func refilled(b *testing.B, held int, core *agent.Core, i int) *agent.Core {
+// renewCore replaces the core after each round of calls, so that the calls of
+// earlier rounds do not fill its tables. The first round (i is 0) keeps the core.
+func renewCore(b *testing.B, revoked int, core *agent.Core, i int) *agent.Core {
 	if i == 0 {
 		return core
 	}
 	core = newAgentCore(testBundle(b, 10))
-	for k := range held {
+	for k := range revoked {
 		core.Revoke(epoch, wire.Revoke{ID: stageCall(k, 64).ID, Until: epoch.Add(time.Minute), Incarnation: incarnation})
 	}
 	return core
 }
 
-// BenchmarkLimiter is one admission and its end, by the number of accounts that
-// have asked within the last second.
+// BenchmarkLimiter measures the admission of a request and its release, by the
+// number of accounts that have sent requests within the last second.
 func BenchmarkLimiter(b *testing.B) {
 	idle := limit.Demand{Pool: poolName(0), Occupancy: route.Occupancy{Endpoints: 100, Capacity: 1600}, Hold: time.Second}
 	full := idle
@@ -108,19 +111,19 @@
 				accounts := testBundle(b, size).Accounts
 				limiter, err := limit.New(bundle.Policy{Name: bundle.PolicyAdaptive})
 				assert.NilError(b, err)
-				ask := func(i int) {
+				admit := func(i int) {
 					account := &accounts[i%size]
 					if limiter.Admit(epoch, account, entriesFull, demand).OK {
 						limiter.Done(account, demand.Pool, epoch)
 					}
 				}
 				for i := range size {
-					ask(i)
+					admit(i)
 				}
 				b.ReportAllocs()
 				i := 0
 				for b.Loop() {
-					ask(i)
+					admit(i)
 					i++
 				}
 			})
@@ -128,7 +131,8 @@
 	}
 }
 
-// BenchmarkBundle decodes, checks and verifies a published bundle.
+// BenchmarkBundle measures the decoding, check and verification of a published
+// bundle, by the number of its accounts.
 func BenchmarkBundle(b *testing.B) {
 	for _, size := range accountSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -143,8 +147,8 @@
 	}
 }
 
-// BenchmarkTokenCores is one streamed token through the cores of an agent and
-// an entry, without the wire.
+// BenchmarkTokenCores measures one streamed token through the core of an entry,
+// without the network.
 func BenchmarkTokenCores(b *testing.B) {
 	core := pipeline.New(pipeline.Config{Entry: "entry-001/" + incarnation, Picker: onePicker{}})
 	a := admission(testBundle(b, 10), 0)
@@ -161,7 +165,7 @@
 	}
 }
 
-// onePicker sends each attempt to the same endpoint.
+// onePicker picks the same endpoint for each attempt.
 type onePicker struct{}
 
 // Pick implements pipeline.Picker.
@@ -169,7 +173,7 @@
 	return route.Decision{Endpoint: &route.Endpoint{Name: endpointName(0)}, Candidates: 1, Considered: 1}
 }
 
-// admission is one request for a pipeline of a single stage.
+// admission returns the admission of a request for a pipeline with one stage.
 func admission(b *bundle.Bundle, i int) pipeline.Admit {
 	id := requestID(i)
 	return pipeline.Admit{
--- a/internal/slopes/doc.go
+++ b/internal/slopes/doc.go
@@ -1,4 +1,5 @@
-// Package slopes measures how the cost of an entry and of an agent grows with
-// the numbers of accounts, endpoints, connections, requests and tokens. Its
-// benchmarks give the figures of docs/CAPACITY.md; it has no code of its own.
+// Package slopes contains benchmarks that measure how the memory, processor time
+// and traffic of an entry and of an agent grow with the numbers of accounts,
+// endpoints, connections, requests and tokens. They give the figures of
+// docs/CAPACITY.md. The package has no code except tests.
 package slopes
--- a/internal/slopes/limit_test.go
+++ b/internal/slopes/limit_test.go
@@ -12,19 +12,19 @@
 	"github.com/mangostage/mangostage/limit"
 )
 
-// BenchmarkLimitShare is the share refused of an account that asks for less
-// than its limit, by the number of entries among which its limit is divided. Its
-// requests come at random times to random entries.
+// BenchmarkLimitShare measures the share of refused requests of an account that
+// stays below its rate limit, by the number of entries among which the limit is
+// divided. The requests arrive at random times at random entries.
 func BenchmarkLimitShare(b *testing.B) {
-	const asked = 19_000.0 / accountsFull
+	const offeredRate = 19_000.0 / accountsFull
 	const requests = 20_000
 	for _, entries := range []int{3, 36, entriesFull} {
 		for _, headroom := range []float64{1.2, 4} {
 			b.Run(fmt.Sprintf("%d/headroom=%v", entries, headroom), func(b *testing.B) {
-				limits := bundle.Limit{RequestsPerSecond: headroom * asked, Burst: int(2 * headroom * asked), InFlight: 1000}
+				limits := bundle.Limit{RequestsPerSecond: headroom * offeredRate, Burst: int(2 * headroom * offeredRate), InFlight: 1000}
 				account := &bundle.Account{Name: accountName(1), Weight: 1, Limit: limits}
 				for range b.N {
-					b.ReportMetric(100*refusedShare(b, entries, account, asked, requests), "%refused")
+					b.ReportMetric(100*refusedShare(b, entries, account, offeredRate, requests), "%refused")
 				}
 				b.ReportMetric(0, "ns/op")
 			})
@@ -32,7 +32,8 @@
 	}
 }
 
-func refusedShare(tb testing.TB, entries int, account *bundle.Account, asked float64, requests int) float64 {
+// refusedShare returns the share of refused requests, from 0 to 1.
+func refusedShare(tb testing.TB, entries int, account *bundle.Account, offeredRate float64, requests int) float64 {
 	tb.Helper()
 	limiters := make([]limit.Limiter, entries)
 	for i := range limiters {
@@ -44,13 +45,13 @@
 	demand := limit.Demand{Pool: poolName(0), Hold: time.Second}
 	now, refused, counted := epoch, 0, 0
 	for i := range 2 * requests {
-		now = now.Add(time.Duration(rng.ExpFloat64() / asked * float64(time.Second)))
+		now = now.Add(time.Duration(rng.ExpFloat64() / offeredRate * float64(time.Second)))
 		l := limiters[rng.IntN(entries)]
 		ok := l.Admit(now, account, entries, demand).OK
 		if ok {
 			l.Done(account, demand.Pool, now)
 		}
-		// The first half empties the buckets, which begin full.
+		// The first half only drains the token buckets, which start full.
 		if i >= requests {
 			counted++
 			if !ok {
--- a/internal/slopes/list_test.go
+++ b/internal/slopes/list_test.go
@@ -13,7 +13,7 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// vmList is the platform's list of a fleet.
+// vmList returns the platform's list of VMs of a fleet.
 func vmList(endpoints, entries int) []confsvc.VM {
 	vms := make([]confsvc.VM, 0, endpoints+entries)
 	for i := range endpoints {
@@ -31,8 +31,8 @@
 	return vms
 }
 
-// BenchmarkList decodes the platform's list and chooses the watchers from it, by
-// the number of endpoints.
+// BenchmarkList measures the decoding of the platform's list of VMs and the
+// selection of the watchers of one failure domain, by the number of endpoints.
 func BenchmarkList(b *testing.B) {
 	for _, size := range []int{210, 700, endpointsFull} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -49,8 +49,9 @@
 	}
 }
 
-// The bundle of the full size is the one that the figures are of; it must be a
-// bundle that operators could publish.
+// TestFullBundleFits checks that the full-size bundle, which the measured figures
+// refer to, is one that operators can publish: within bundle.MaxBytes and without
+// findings.
 func TestFullBundleFits(t *testing.T) {
 	keys, signed := signedBundle(t, accountsFull)
 	assert.Assert(t, len(signed) <= bundle.MaxBytes, "%d bytes", len(signed))
@@ -60,7 +61,8 @@
 	assert.Equal(t, len(v.Bundle.Pipelines), pipelinesFull)
 }
 
-// Two watchers stand for each failure domain, however large the fleet.
+// TestWatchersOfFullFleet checks that each failure domain has two watchers,
+// independent of the size of the fleet.
 func TestWatchersOfFullFleet(t *testing.T) {
 	vms := vmList(endpointsFull, entriesFull)
 	watchers := 0
--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -24,13 +24,14 @@
 
 const loopback = "127.0.0.1:0"
 
-// report gives memory for each of n things.
-func report(b *testing.B, grown usage, n int, unit string) {
-	b.ReportMetric(grown.bytes/float64(n), "B/"+unit)
+// reportGrowth reports the memory growth per item, for n items of the given unit.
+func reportGrowth(b *testing.B, growth usage, n int, unit string) {
+	b.ReportMetric(growth.bytes/float64(n), "B/"+unit)
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkMemoryConnection is one end of an idle connection between two nodes.
+// BenchmarkMemoryConnection measures the memory and goroutines of one end of an
+// idle connection between two nodes, by the number of connections.
 func BenchmarkMemoryConnection(b *testing.B) {
 	for _, secure := range []bool{false, true} {
 		for _, size := range []int{10, 40, 160} {
@@ -41,9 +42,9 @@
 				}
 				for range b.N {
 					from, to := newNode(b, cfg), newNode(b, cfg)
-					grown := measured(func() any { return connect(b, from, to, size) })
-					report(b, grown, 2*size, "end")
-					b.ReportMetric(grown.goroutines/float64(2*size), "goroutines/end")
+					growth := measureGrowth(func() any { return connect(b, from, to, size) })
+					reportGrowth(b, growth, 2*size, "end")
+					b.ReportMetric(growth.goroutines/float64(2*size), "goroutines/end")
 					from.node.Close()
 					to.node.Close()
 				}
@@ -52,7 +53,8 @@
 	}
 }
 
-// BenchmarkConnect is the processor time of both ends of a new connection.
+// BenchmarkConnect measures the processor time that both ends together need to
+// establish a connection, by the number of connections.
 func BenchmarkConnect(b *testing.B) {
 	for _, secure := range []bool{false, true} {
 		for _, size := range []int{10, 40, 160} {
@@ -71,14 +73,14 @@
 	}
 }
 
-// BenchmarkMemoryPeak is the most heap in use above the start while a bundle is
+// BenchmarkMemoryPeak measures the peak growth of the heap while a bundle is
 // verified, by the number of its accounts.
 func BenchmarkMemoryPeak(b *testing.B) {
 	for _, size := range accountSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			keys, signed := signedBundle(b, size)
 			for range b.N {
-				peak := watchedPeak(func() {
+				peak := peakHeapGrowth(func() {
 					_, err := bundle.Verify(keys, signed)
 					assert.NilError(b, err)
 				})
@@ -89,8 +91,9 @@
 	}
 }
 
-// watchedPeak samples the heap while work runs.
-func watchedPeak(work func()) float64 {
+// peakHeapGrowth samples the heap recordsEach millisecond while work runs and returns
+// its peak growth in bytes.
+func peakHeapGrowth(work func()) float64 {
 	runtime.GC()
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	read := func() float64 {
@@ -116,7 +119,7 @@
 	}
 }
 
-// testNode is a node that listens.
+// testNode is a listening node and its address.
 type testNode struct {
 	node    *peer.Node
 	address string
@@ -137,6 +140,7 @@
 	return wire.Hello{Process: r.Process, VM: "vm-" + r.Endpoint, Bundle: wire.BundleHead{Version: 1200, Hash: hash("bundle")}, Report: r}
 }
 
+// connect dials n connections and waits until the other node has accepted all.
 func connect(tb testing.TB, from, to testNode, n int) []*peer.Conn {
 	tb.Helper()
 	conns := make([]*peer.Conn, n)
@@ -149,32 +153,33 @@
 	return conns
 }
 
-func awaitConns(tb testing.TB, of testNode, n int) {
+func awaitConns(tb testing.TB, node testNode, n int) {
 	tb.Helper()
 	poll.WaitOn(tb, func(poll.LogT) poll.Result {
-		if len(of.node.Conns()) == n {
+		if len(node.node.Conns()) == n {
 			return poll.Success()
 		}
-		return poll.Continue("%d of %d connections", len(of.node.Conns()), n)
+		return poll.Continue("%d of %d connections", len(node.node.Conns()), n)
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(time.Millisecond))
 }
 
-// BenchmarkMemoryRecord is one request in the ledger: at an agent with three
-// records, at an entry with eight of three stages or fourteen of six.
+// BenchmarkMemoryRecord measures the memory of one request in the ledger, by the
+// number of its records: three at an agent, eight at an entry for a pipeline of
+// three stages, fourteen for one of six.
 func BenchmarkMemoryRecord(b *testing.B) {
-	for _, each := range []int{3, 8, 14} {
+	for _, recordsEach := range []int{3, 8, 14} {
 		for _, size := range []int{1000, 8000, 64_000} {
-			b.Run(fmt.Sprintf("records=%d/%d", each, size), func(b *testing.B) {
+			b.Run(fmt.Sprintf("records=%d/%d", recordsEach, size), func(b *testing.B) {
 				for range b.N {
-					grown := measured(func() any { return filledLedger(size, each) })
-					report(b, grown, size, "request")
+					growth := measureGrowth(func() any { return filledLedger(size, recordsEach) })
+					reportGrowth(b, growth, size, "request")
 				}
 			})
 		}
 	}
 }
 
-func filledLedger(requests, each int) *ledger.Store {
+func filledLedger(requests, recordsEach int) *ledger.Store {
 	store := ledger.NewStore(ledger.StoreConfig{MaxRequests: 4 * requests, MaxAge: time.Hour})
 	for i := range requests {
 		r := ledger.Record{
@@ -182,15 +187,16 @@
 			Pipeline: pipelineName(1), Stage: "stage-0", Endpoint: endpointName(i), Attempt: 1,
 			State: api.StageDone, Took: time.Second, Cost: time.Second,
 		}
-		for range each {
+		for range recordsEach {
 			store.Add(r)
 		}
 	}
 	return store
 }
 
-// BenchmarkMemoryAgent is what an agent's core remembers of a call that it ran,
-// of an order that it ran once, and of a call revoked before it came.
+// BenchmarkMemoryAgent measures the memory that an agent's core keeps for a call
+// that it ran, for an unrepeatable call that it ran ("order") and for a call that
+// was revoked before it arrived ("tombstone").
 func BenchmarkMemoryAgent(b *testing.B) {
 	config := testBundle(b, 10)
 	fill := map[string]func(core *agent.Core, i int){
@@ -210,20 +216,21 @@
 			b.Run(fmt.Sprintf("%s/%d", kind, size), func(b *testing.B) {
 				for range b.N {
 					core := newAgentCore(config)
-					grown := measured(func() any {
+					growth := measureGrowth(func() any {
 						for i := range size {
 							add(core, i)
 						}
 						return core
 					})
-					report(b, grown, size, kind)
+					reportGrowth(b, growth, size, kind)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkMemoryAccount is an account in a verified bundle and in a limiter.
+// BenchmarkMemoryAccount measures the memory of an account in a verified bundle
+// and in a limiter.
 func BenchmarkMemoryAccount(b *testing.B) {
 	for _, size := range accountSizes {
 		b.Run(fmt.Sprintf("bundle/%d", size), func(b *testing.B) {
@@ -235,16 +242,16 @@
 					return v
 				}
 				verify()
-				grown := measured(func() any { return []any{verify(), verify(), verify(), verify()} })
-				report(b, grown, 4*size, "account")
-				b.ReportMetric(grown.bytes/4, "B/bundle")
+				growth := measureGrowth(func() any { return []any{verify(), verify(), verify(), verify()} })
+				reportGrowth(b, growth, 4*size, "account")
+				b.ReportMetric(growth.bytes/4, "B/bundle")
 			}
 		})
 		b.Run(fmt.Sprintf("limiter/%d", size), func(b *testing.B) {
 			accounts := testBundle(b, size).Accounts
 			demand := limit.Demand{Pool: poolName(0), Hold: time.Second}
 			for range b.N {
-				grown := measured(func() any {
+				growth := measureGrowth(func() any {
 					limiter, err := limit.New(bundle.Policy{Name: bundle.PolicyAdaptive})
 					assert.NilError(b, err)
 					for i := range accounts {
@@ -252,18 +259,19 @@
 					}
 					return limiter
 				})
-				report(b, grown, size, "account")
+				reportGrowth(b, growth, size, "account")
 			}
 		})
 	}
 }
 
-// BenchmarkMemoryEndpoint is an endpoint in a routing snapshot, its report included.
+// BenchmarkMemoryEndpoint measures the memory of an endpoint in a routing
+// snapshot, including the agent's report.
 func BenchmarkMemoryEndpoint(b *testing.B) {
 	for _, size := range []int{100, 700, endpointsFull} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for range b.N {
-				grown := measured(func() any {
+				growth := measureGrowth(func() any {
 					endpoints := make([]*route.Endpoint, size)
 					for i := range endpoints {
 						r := agentReport(i)
@@ -273,28 +281,28 @@
 					}
 					return route.NewPool(poolName(0), "entry-001", endpoints)
 				})
-				report(b, grown, size, "endpoint")
+				reportGrowth(b, growth, size, "endpoint")
 			}
 		})
 	}
 }
 
-// BenchmarkMemoryRequest is a request in flight in the entry's core, with 1 KiB
-// of input.
+// BenchmarkMemoryRequest measures the memory of an in-flight request with 1 KiB
+// of input in the entry's core.
 func BenchmarkMemoryRequest(b *testing.B) {
 	config := testBundle(b, 10)
 	for _, size := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for range b.N {
 				core := pipeline.New(pipeline.Config{Entry: "entry-001/" + incarnation, Picker: onePicker{}})
-				grown := measured(func() any {
+				growth := measureGrowth(func() any {
 					for i := range size {
 						core.Handle(epoch, admission(config, i))
 					}
 					return core
 				})
 				assert.Equal(b, core.InFlight(), size)
-				report(b, grown, size, "request")
+				reportGrowth(b, growth, size, "request")
 			}
 		})
 	}
--- a/internal/slopes/page_test.go
+++ b/internal/slopes/page_test.go
@@ -10,18 +10,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// commandPattern matches a command of the page: its filter and its package.
+// commandPattern matches a benchmark command of docs/CAPACITY.md and captures its
+// filter and its package.
 var commandPattern = regexp.MustCompile(`(?m)^go test .*-bench '([^']+)'.* \./([a-z/]+)$`)
 
-// A reader who runs the page's commands again must get figures: each part of a
-// filter has to match a benchmark of its package.
+// TestPageCommandsMatch guards against commands of docs/CAPACITY.md that run no
+// benchmark, for example after one was renamed: each alternative of a filter must
+// match a benchmark of its package.
 func TestPageCommandsMatch(t *testing.T) {
 	page, err := os.ReadFile("../../docs/CAPACITY.md")
 	assert.NilError(t, err)
 	commands := commandPattern.FindAllStringSubmatch(string(page), -1)
 	assert.Equal(t, len(commands), strings.Count(string(page), "-bench "))
 	for _, command := range commands {
-		names := benchmarks(t, filepath.Join("../..", command[2]))
+		names := benchmarkNames(t, filepath.Join("../..", command[2]))
 		for part := range strings.SplitSeq(command[1], "|") {
 			filter := regexp.MustCompile(part)
 			found := false
@@ -35,7 +37,8 @@
 
 var benchmarkPattern = regexp.MustCompile(`(?m)^func (Benchmark\w+)\(`)
 
-func benchmarks(tb testing.TB, dir string) []string {
+// benchmarkNames returns the names of the benchmarks in the package at dir.
+func benchmarkNames(tb testing.TB, dir string) []string {
 	tb.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	assert.NilError(tb, err)
--- a/internal/slopes/process_test.go
+++ b/internal/slopes/process_test.go
@@ -22,9 +22,10 @@
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
 const (
-	// idleWindow is how long idle processes are looked at.
+	// idleWindow is the time over which idle processes are measured.
 	idleWindow = 10 * time.Second
-	callers    = 8
+	// callers is the number of requests sent concurrently.
+	callers = 8
 )
 
 const processBundle = `
@@ -45,6 +46,8 @@
   - {name: tokens-24, stages: [{name: generate, pool: engines, model: m, max_tokens: 24}]}
 `
 
+// startProcesses starts an entry, and an agent for each endpoint of the pools, as
+// processes of their own.
 func startProcesses(tb testing.TB, pools map[string]int) *harness.Fleet {
 	return harness.Start(tb, harness.Config{
 		Bundle: fmt.Appendf(nil, processBundle, hash("operator"), hash("caller")),
@@ -52,8 +55,9 @@
 	})
 }
 
-// BenchmarkIdleProcess is what an entry and an agent cost while nothing is
-// asked of them, by the number of agents.
+// BenchmarkIdleProcess measures the processor time, memory and traffic of an
+// entry, and the processor time and memory of an agent, without any requests, by
+// the number of agents.
 func BenchmarkIdleProcess(b *testing.B) {
 	for _, size := range []int{4, 12, 36, 108} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -63,9 +67,9 @@
 				timer := time.NewTimer(idleWindow)
 				<-timer.C
 				after, now := readProcesses(b), stats(b, fleet)
-				for role, spent := range since(before, after) {
-					b.ReportMetric(100*spent.cpu.Seconds()/idleWindow.Seconds()/float64(spent.processes), role+"-%cpu")
-					b.ReportMetric(spent.resident/float64(spent.processes)/(1<<20), role+"-MiB")
+				for role, used := range usageSince(before, after) {
+					b.ReportMetric(100*used.cpu.Seconds()/idleWindow.Seconds()/float64(used.processes), role+"-%cpu")
+					b.ReportMetric(used.resident/float64(used.processes)/(1<<20), role+"-MiB")
 				}
 				b.ReportMetric(float64(now.PeerBytesOut-sent.PeerBytesOut)/idleWindow.Seconds(), "entry-out-B/s")
 				b.ReportMetric(float64(now.PeerBytesIn-sent.PeerBytesIn)/idleWindow.Seconds(), "entry-in-B/s")
@@ -74,32 +78,33 @@
 	}
 }
 
-// BenchmarkProcessRequest is the processor time of an entry and an agent for a
-// request of one stage, by the size of its input.
+// BenchmarkProcessRequest measures the processor time of an entry and an agent
+// for a request with one stage, by the size of its input in bytes.
 func BenchmarkProcessRequest(b *testing.B) {
 	fleet := startProcesses(b, map[string]int{"service": 1})
 	for _, size := range []int{256, 4096, 65536} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			input, err := json.Marshal(strings.Repeat("word ", size/5))
 			assert.NilError(b, err)
-			spend(b, fleet, harness.Call{Pipeline: "service", Input: input}, 1)
+			measureRequests(b, fleet, harness.Call{Pipeline: "service", Input: input}, 1)
 		})
 	}
 }
 
-// BenchmarkProcessTokens is their processor time for a streamed answer, by the
-// number of its tokens.
+// BenchmarkProcessTokens measures the processor time of an entry and an agent for
+// a streamed answer, by the number of its tokens.
 func BenchmarkProcessTokens(b *testing.B) {
 	fleet := startProcesses(b, map[string]int{"engines": 1})
 	for _, tokens := range []int{8, 16, 24} {
 		b.Run(fmt.Sprint(tokens), func(b *testing.B) {
-			spend(b, fleet, harness.Call{Pipeline: fmt.Sprintf("tokens-%d", tokens), Input: text(256), Stream: true}, tokens)
+			measureRequests(b, fleet, harness.Call{Pipeline: fmt.Sprintf("tokens-%d", tokens), Input: text(256), Stream: true}, tokens)
 		})
 	}
 }
 
-// spend sends b.N requests and reports what each took of both processes.
-func spend(b *testing.B, fleet *harness.Fleet, call harness.Call, tokens int) {
+// measureRequests sends b.N requests and reports the processor time per request
+// of the entry and of the agents.
+func measureRequests(b *testing.B, fleet *harness.Fleet, call harness.Call, tokens int) {
 	send := func() {
 		reply := fleet.Send(b.Context(), 0, call)
 		assert.Check(b, reply.Err == nil && reply.Outcome() == api.OutcomeAnswered, "%v %s", reply.Err, reply.Body)
@@ -121,27 +126,30 @@
 		})
 	}
 	group.Wait()
-	for role, spent := range since(before, readProcesses(b)) {
-		b.ReportMetric(float64(spent.cpu.Microseconds())/float64(b.N), role+"-µs/req")
+	for role, used := range usageSince(before, readProcesses(b)) {
+		b.ReportMetric(float64(used.cpu.Microseconds())/float64(b.N), role+"-µs/req")
 	}
 }
 
-// process is a child of this one.
+// process is a child process.
 type process struct {
-	role     string
-	cpu      time.Duration
+	role string
+	cpu  time.Duration
+	// resident is the resident memory in bytes.
 	resident float64
 }
 
-// spent is what the processes of a role used in a while.
-type spent struct {
+// roleUsage is the processor time that all processes of a role used between two
+// readings, and their resident memory in bytes at the second.
+type roleUsage struct {
 	processes int
 	cpu       time.Duration
 	resident  float64
 }
 
-func since(before, after map[string]process) map[string]spent {
-	sum := make(map[string]spent)
+// usageSince returns the usage between two readings, by role.
+func usageSince(before, after map[string]process) map[string]roleUsage {
+	sum := make(map[string]roleUsage)
 	for pid, p := range after {
 		s := sum[p.role]
 		s.processes++
@@ -152,7 +160,8 @@
 	return sum
 }
 
-// readProcesses reads the entries and agents among this process's children.
+// readProcesses returns the entries and agents among the child processes, by
+// their directory in /proc.
 func readProcesses(tb testing.TB) map[string]process {
 	tb.Helper()
 	found := make(map[string]process)
@@ -169,14 +178,15 @@
 		}
 		resident, err := strconv.ParseFloat(field(status, "VmRSS:"), 64)
 		assert.NilError(tb, err)
-		// The kernel cuts names to 15 bytes.
+		// The kernel truncates names to 15 bytes.
 		role = map[string]string{"entr": "entry", "agen": "agent"}[role[:4]]
 		found[dir] = process{role: role, cpu: cpuTime(tb, dir), resident: resident * 1024}
 	}
 	return found
 }
 
-// cpuTime adds up what the scheduler has given to the process's threads.
+// cpuTime returns the total processor time of the process's threads, as counted
+// by the scheduler.
 func cpuTime(tb testing.TB, dir string) time.Duration {
 	tb.Helper()
 	threads, err := filepath.Glob(filepath.Join(dir, "task", "*", "schedstat"))
@@ -192,6 +202,8 @@
 	return sum
 }
 
+// field returns the first word after name in a /proc status file, or an empty
+// string.
 func field(status []byte, name string) string {
 	_, rest, _ := strings.Cut(string(status), name)
 	fields := strings.Fields(rest)
@@ -201,7 +213,7 @@
 	return fields[0]
 }
 
-// stats reads the first entry's part in the fleet.
+// stats returns the membership statistics of the first entry.
 func stats(tb testing.TB, fleet *harness.Fleet) member.StatsSnapshot {
 	tb.Helper()
 	reply := fleet.Get(tb.Context(), 0, "/debug/vars", "")
@@ -213,13 +225,13 @@
 	return vars.Member
 }
 
-// cpuClock is this process's own processor time.
-type cpuClock struct{ began time.Duration }
+// cpuClock measures the processor time of this process since startCPU.
+type cpuClock struct{ start time.Duration }
 
 func startCPU() cpuClock { return cpuClock{ownCPU()} }
 
 func (c cpuClock) report(b *testing.B, n int) {
-	b.ReportMetric(float64((ownCPU()-c.began).Nanoseconds())/float64(n), "cpu-ns/op")
+	b.ReportMetric(float64((ownCPU()-c.start).Nanoseconds())/float64(n), "cpu-ns/op")
 }
 
 func ownCPU() time.Duration {
--- a/internal/slopes/sizes_test.go
+++ b/internal/slopes/sizes_test.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// These are of the size to design for.
+	// The fleet size that the system is designed for.
 	entriesFull   = 360
 	domainsFull   = 11
 	accountsFull  = 2300
 	modelsFull    = 21
 	pipelinesFull = 20
 	endpointsFull = 2100
-	// poolsFull is an assumption: a pool for each model.
+	// poolsFull assumes one pool for each model.
 	poolsFull = modelsFull
 )
 
@@ -35,24 +35,27 @@
 	accountSizes = []int{100, 800, accountsFull}
 )
 
-// usage is memory in use and goroutines.
+// usage is the memory in use, in bytes, and the number of goroutines.
 type usage struct {
 	bytes      float64
 	goroutines float64
 }
 
-// measured returns what build leaves in use: heap after a collection and stacks.
-func measured(build func() any) usage {
+// measureGrowth returns the growth of memory and goroutines caused by build, whose
+// result is kept alive. Memory is the heap after a garbage collection plus stacks.
+func measureGrowth(build func() any) usage {
 	before, count := inUse(), runtime.NumGoroutine()
-	kept := build()
+	value := build()
 	after := inUse()
-	grown := usage{bytes: after - before, goroutines: float64(runtime.NumGoroutine() - count)}
-	runtime.KeepAlive(kept)
-	return grown
+	growth := usage{bytes: after - before, goroutines: float64(runtime.NumGoroutine() - count)}
+	runtime.KeepAlive(value)
+	return growth
 }
 
+// inUse returns the live heap and the stacks in bytes.
 func inUse() float64 {
-	// The second collection frees what finalizers of the first let go.
+	// The second collection frees the objects released by finalizers that the
+	// first one triggered.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -60,8 +63,8 @@
 	return float64(m.HeapAlloc) + float64(m.StackInuse)
 }
 
-// bundleYAML writes a bundle of that many accounts with the pools, models and
-// pipelines of the full size.
+// bundleYAML returns a bundle with the given number of accounts and with the
+// pools, models and pipelines of the full size.
 func bundleYAML(accounts int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "version: 1\noperators:\n  - {name: operator, credential_sha256: [%s]}\naccounts:\n", hash("operator"))
@@ -96,7 +99,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// signedBundle returns a signed bundle and the key that proves it.
+// signedBundle returns a signed bundle and the public key to verify it.
 func signedBundle(tb testing.TB, accounts int) ([]ed25519.PublicKey, []byte) {
 	tb.Helper()
 	public, private, err := bundle.GenerateKey()
@@ -106,14 +109,14 @@
 	return []ed25519.PublicKey{public}, signed
 }
 
-// requestID has the length of one that an entry makes.
+// requestID returns a random request ID of the same length as an entry's.
 func requestID(i int) string {
 	random := make([]byte, 48)
 	_, _ = rand.Read(random)
 	return fmt.Sprintf("mr1.%s%08d", hex.EncodeToString(random), i)
 }
 
-// stageCall is one call of a repeatable stage with an input of that many bytes.
+// stageCall returns a call of a repeatable stage with an input of that many bytes.
 func stageCall(i, input int) wire.StageCall {
 	id := requestID(i)
 	return wire.StageCall{
@@ -133,12 +136,12 @@
 
 const incarnation = "0b1f3f0e-6d0c-4a55-8f0e-8c5d4f1c2a11"
 
-// text is a JSON string of that many bytes.
+// text returns a JSON string of that many bytes, quotes included.
 func text(size int) []byte {
 	return []byte(`"` + strings.Repeat("x", max(0, size-2)) + `"`)
 }
 
-// agentReport is an agent's word on its endpoint.
+// agentReport returns an agent's report on the i-th endpoint.
 func agentReport(i int) wire.AgentReport {
 	return wire.AgentReport{
 		Process:  wire.Process{Name: endpointName(i), Incarnation: incarnation, Role: wire.RoleAgent, Domain: domainName(i)},
--- a/internal/slopes/wire_test.go
+++ b/internal/slopes/wire_test.go
@@ -25,7 +25,9 @@
 // outputBytes is the size of the results that the methods return.
 const outputBytes = 1024
 
-// methods answers as an agent does, without running anything, and counts chunks.
+// methods returns handlers that reply like an agent, without running anything,
+// and that ignore notifications. A bundle fetch returns as many bytes as the
+// requested version says.
 func methods() *peer.Mux {
 	mux := peer.NewMux()
 	peer.HandleCall(mux, wire.MethodStageRun, func(_ context.Context, _ *peer.Conn, call wire.StageCall) (wire.StageResult, error) {
@@ -58,7 +60,7 @@
 	return link{from: from, conn: connect(tb, from, to, 1)[0]}
 }
 
-// bytes returns what passes each way while send runs.
+// bytes returns the bytes sent and received while send runs.
 func (l link) bytes(send func()) (out, in int64) {
 	traffic := &l.from.node.Traffic
 	out, in = traffic.BytesOut.Load(), traffic.BytesIn.Load()
@@ -71,8 +73,8 @@
 	assert.NilError(tb, l.conn.Call(context.Background(), wire.MethodStageRun, call, &result))
 }
 
-// BenchmarkWireCall is a stage call and its reply between two processes, by the
-// size of the input. Its time is of both ends.
+// BenchmarkWireCall measures a stage call and its reply over a connection, by the
+// size of the input in bytes. The time is that of both ends.
 func BenchmarkWireCall(b *testing.B) {
 	for _, size := range []int{256, 4096, 65536} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -90,7 +92,8 @@
 	}
 }
 
-// BenchmarkWireChunk is one piece of a stream, by the number of its bytes of text.
+// BenchmarkWireChunk measures one chunk of a stream, by the size of its text in
+// bytes.
 func BenchmarkWireChunk(b *testing.B) {
 	for _, size := range []int{5, 40, 320} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -102,7 +105,7 @@
 			for b.Loop() {
 				send()
 			}
-			// A call behind the notifications returns once the last has been read.
+			// The reply to a later call shows that all notifications have been read.
 			l.run(b, stageCall(2, 64))
 			cpu.report(b, b.N)
 			b.ReportMetric(float64(out), "out-B")
@@ -110,14 +113,14 @@
 	}
 }
 
-// BenchmarkWireControl is the bytes of an exchange of hellos, of a bundle's head
-// and of a bundle as fetched.
+// BenchmarkWireControl measures the bytes of an exchange of hellos, of a
+// notification of a bundle's head and of the fetch of a bundle.
 func BenchmarkWireControl(b *testing.B) {
 	b.Run("hello", func(b *testing.B) {
 		l := newLink(b)
 		out, in := l.bytes(func() {
-			var theirs wire.Hello
-			assert.NilError(b, l.conn.Call(context.Background(), wire.MethodHello, hello(), &theirs))
+			var peerHello wire.Hello
+			assert.NilError(b, l.conn.Call(context.Background(), wire.MethodHello, hello(), &peerHello))
 		})
 		reportBytes(b, out, in)
 	})
@@ -132,8 +135,8 @@
 			_, signed := signedBundle(b, size)
 			fetch := func() {
 				var body wire.BundleBody
-				order := wire.BundleFetch{Head: wire.BundleHead{Version: uint64(len(signed)), Hash: hash("bundle")}}
-				assert.NilError(b, l.conn.Call(context.Background(), wire.MethodBundleFetch, order, &body))
+				request := wire.BundleFetch{Head: wire.BundleHead{Version: uint64(len(signed)), Hash: hash("bundle")}}
+				assert.NilError(b, l.conn.Call(context.Background(), wire.MethodBundleFetch, request, &body))
 			}
 			out, in := l.bytes(fetch)
 			cpu := startCPU()
@@ -147,9 +150,9 @@
 	}
 }
 
-// BenchmarkWireSuspects is what one entry tells another of content that crashed
-// endpoints, by the number of crashes that it knows of; it passes on those that
-// it learned from others.
+// BenchmarkWireSuspects measures the notification in which one entry sends
+// another its counts of content that crashed endpoints, by the number of such
+// contents. It includes those that the entry has learned from other entries.
 func BenchmarkWireSuspects(b *testing.B) {
 	for _, size := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -167,7 +170,7 @@
 			for b.Loop() {
 				send()
 			}
-			// A call behind the notifications returns once the last has been read.
+			// The reply to a later call shows that all notifications have been read.
 			l.run(b, stageCall(2, 64))
 			cpu.report(b, b.N)
 			b.ReportMetric(float64(out), "out-B")
@@ -181,7 +184,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// mutualTLS is a configuration in which each side proves itself with one certificate.
+// mutualTLS returns a configuration for mutual TLS in which both sides use the
+// same self-signed certificate.
 func mutualTLS(tb testing.TB) *tls.Config {
 	tb.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
