--- a/cmd/mangostage-fake/main.go
+++ b/cmd/mangostage-fake/main.go
@@ -1,6 +1,6 @@
 // Command mangostage-fake runs stand-ins for model engines, plain services and
-// the platform, for tests and first tries. It prints one JSON line with their
-// addresses when all of them listen, and ends on SIGTERM or SIGINT.
+// the platform, for tests and development. When all of them listen, it prints
+// one JSON line with their addresses; it exits on SIGTERM or SIGINT.
 package main
 
 import (
@@ -22,9 +22,9 @@
 	if parser.Subcommand() == nil {
 		parser.Fail("name one of the subcommands")
 	}
-	set, err := a.build()
+	standIns, err := a.build()
 	if err == nil {
-		err = run(ctx, set, os.Stdout)
+		err = run(ctx, standIns, os.Stdout)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -32,26 +32,27 @@
 	}
 }
 
-// ready is the line printed when all stand-ins listen.
-type ready struct {
-	Listening []listening `json:"listening"`
+// readyLine is the JSON line printed when all stand-ins listen.
+type readyLine struct {
+	Listening []listener `json:"listening"`
 }
 
-type listening struct {
+// listener is the address of one stand-in.
+type listener struct {
 	Name string `json:"name"`
 	Kind kind   `json:"kind"`
 	URL  string `json:"url"`
 }
 
-// run starts the set, prints its addresses and waits for ctx to end.
-func run(ctx context.Context, set []standIn, out *os.File) error {
-	var line ready
-	for _, s := range set {
+// run starts the stand-ins, prints their addresses and waits for ctx to end.
+func run(ctx context.Context, standIns []standIn, out *os.File) error {
+	var line readyLine
+	for _, s := range standIns {
 		if err := s.server.Start(s.listen); err != nil {
 			return err
 		}
 		defer s.server.Close()
-		line.Listening = append(line.Listening, listening{Name: s.name, Kind: s.kind, URL: s.server.URL()})
+		line.Listening = append(line.Listening, listener{Name: s.name, Kind: s.kind, URL: s.server.URL()})
 	}
 	if err := json.NewEncoder(out).Encode(line); err != nil {
 		return err
--- a/cmd/mangostage-fake/main_test.go
+++ b/cmd/mangostage-fake/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/mangostage/mangostage/endpoint"
 )
 
-func parse(t *testing.T, words ...string) args {
+func parseArgs(t *testing.T, words ...string) args {
 	var a args
 	p, err := arg.NewParser(arg.Config{}, &a)
 	assert.NilError(t, err)
@@ -33,19 +33,19 @@
   - {name: orders, settings: {time: 2ms, seed: 7}}
 `
 	assert.NilError(t, os.WriteFile(file, []byte(text), 0o600))
-	a := parse(t, "pool", file)
-	set, err := a.build()
+	a := parseArgs(t, "pool", file)
+	standIns, err := a.build()
 	assert.NilError(t, err)
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	ended := make(chan error, 1)
-	go func() { ended <- run(ctx, set, w) }()
+	go func() { ended <- run(ctx, standIns, w) }()
 
 	line, err := bufio.NewReader(r).ReadBytes('\n')
 	assert.NilError(t, err)
-	var got ready
+	var got readyLine
 	assert.NilError(t, json.Unmarshal(line, &got))
 	var names []string
 	for _, l := range got.Listening {
@@ -62,14 +62,14 @@
 }
 
 func TestFlagsReachTheSettings(t *testing.T) {
-	a := parse(t, "engine", "--token-time", "5ms", "--ignore-fence", "--restart-after", "1s", "--models", "a", "b")
+	a := parseArgs(t, "engine", "--token-time", "5ms", "--ignore-fence", "--restart-after", "1s", "--models", "a", "b")
 	assert.Equal(t, a.Engine.TokenTime, 5*time.Millisecond)
 	assert.Assert(t, a.Engine.IgnoreFence)
 	assert.Equal(t, a.Engine.RestartAfter, time.Second)
 	assert.DeepEqual(t, a.Engine.Models, []string{"a", "b"})
-	b := parse(t, "service", "--concurrency", "3", "--listen", "127.0.0.1:1")
+	b := parseArgs(t, "service", "--concurrency", "3", "--listen", "127.0.0.1:1")
 	assert.Equal(t, b.Service.Concurrency, 3)
-	c := parse(t, "platform", "--vm-lag", "2s")
+	c := parseArgs(t, "platform", "--vm-lag", "2s")
 	assert.Equal(t, c.Platform.VMLag, 2*time.Second)
 }
 
--- a/cmd/mangostage-fake/pool.go
+++ b/cmd/mangostage-fake/pool.go
@@ -14,11 +14,11 @@
 
 const (
 	anyPort = "127.0.0.1:0"
-	// exitCrashed is the status of a process that a control request crashed.
+	// exitCrashed is the exit status with --exit-on-crash after a crash.
 	exitCrashed = 3
 )
 
-// kind tells what a stand-in stands in for.
+// kind is the kind of system that a stand-in replaces.
 type kind string
 
 const (
@@ -27,12 +27,15 @@
 	kindService  kind = "service"
 )
 
+// server is implemented by all stand-ins of package fake.
 type server interface {
 	Start(addr string) error
 	URL() string
 	Close()
 }
 
+// standIn is a stand-in that has not been started and the address for it to
+// listen on.
 type standIn struct {
 	name   string
 	kind   kind
@@ -71,34 +74,35 @@
 	File string `arg:"positional,required" help:"YAML or JSON description"`
 }
 
-// build makes the stand-ins that the arguments ask for.
+// build returns the stand-ins selected by the arguments.
 func (a *args) build() ([]standIn, error) {
 	switch {
 	case a.Platform != nil:
-		return one(kindPlatform, a.Platform.Listen, fake.NewPlatform(a.Platform.PlatformSettings)), nil
+		return single(kindPlatform, a.Platform.Listen, fake.NewPlatform(a.Platform.PlatformSettings)), nil
 	case a.Engine != nil:
-		a.Engine.OnCrash = exitIf(a.Engine.ExitOnCrash)
-		return one(kindEngine, a.Engine.Listen, fake.NewEngine(a.Engine.EngineSettings)), nil
+		a.Engine.OnCrash = exitOnCrash(a.Engine.ExitOnCrash)
+		return single(kindEngine, a.Engine.Listen, fake.NewEngine(a.Engine.EngineSettings)), nil
 	case a.Service != nil:
-		a.Service.OnCrash = exitIf(a.Service.ExitOnCrash)
-		return one(kindService, a.Service.Listen, fake.NewService(a.Service.ServiceSettings)), nil
+		a.Service.OnCrash = exitOnCrash(a.Service.ExitOnCrash)
+		return single(kindService, a.Service.Listen, fake.NewService(a.Service.ServiceSettings)), nil
 	default:
 		return loadPool(a.Pool.File)
 	}
 }
 
-func one(k kind, listen string, s server) []standIn {
+func single(k kind, listen string, s server) []standIn {
 	return []standIn{{name: string(k), kind: k, listen: listen, server: s}}
 }
 
-func exitIf(wanted bool) func() {
-	if !wanted {
+// exitOnCrash returns a function that ends the process, or nil if not enabled.
+func exitOnCrash(enabled bool) func() {
+	if !enabled {
 		return nil
 	}
 	return func() { os.Exit(exitCrashed) }
 }
 
-// pool describes several stand-ins.
+// pool is the description of several stand-ins, read from a file.
 type pool struct {
 	Platform *poolPlatform `yaml:"platform"`
 	Engines  []poolEngine  `yaml:"engines"`
@@ -110,11 +114,12 @@
 	Settings fake.PlatformSettings `yaml:"settings"`
 }
 
-// poolMember is what engines and services of a pool have in common.
+// poolMember is the common part of the engines and services of a pool.
 type poolMember struct {
 	Name   string `yaml:"name"`
 	Listen string `yaml:"listen"`
-	// Count makes so many alike, named NAME-1 and so on, on free ports.
+	// Count is the number of equal stand-ins to run. With more than one they are
+	// named NAME-1, NAME-2 and so on, and listen on free ports.
 	Count int `yaml:"count"`
 }
 
@@ -128,6 +133,7 @@
 	Settings fake.ServiceSettings `yaml:"settings"`
 }
 
+// loadPool reads a description and returns its stand-ins.
 func loadPool(file string) ([]standIn, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -141,49 +147,49 @@
 }
 
 func (p *pool) build() ([]standIn, error) {
-	var set []standIn
+	var standIns []standIn
 	if p.Platform != nil {
-		set = one(kindPlatform, orAnyPort(p.Platform.Listen), fake.NewPlatform(p.Platform.Settings))
+		standIns = single(kindPlatform, addressOrAnyPort(p.Platform.Listen), fake.NewPlatform(p.Platform.Settings))
 	}
 	for _, e := range p.Engines {
 		members, err := e.Member.expand(kindEngine, func() server { return fake.NewEngine(e.Settings) })
 		if err != nil {
 			return nil, err
 		}
-		set = append(set, members...)
+		standIns = append(standIns, members...)
 	}
 	for _, s := range p.Services {
 		members, err := s.Member.expand(kindService, func() server { return fake.NewService(s.Settings) })
 		if err != nil {
 			return nil, err
 		}
-		set = append(set, members...)
+		standIns = append(standIns, members...)
 	}
-	if len(set) == 0 {
+	if len(standIns) == 0 {
 		return nil, errDescription.New("the description names no stand-in")
 	}
-	return set, nil
+	return standIns, nil
 }
 
-// expand makes the stand-ins of one member.
+// expand returns the stand-ins of the member.
 func (m poolMember) expand(k kind, build func() server) ([]standIn, error) {
 	if m.Name == "" {
 		return nil, errDescription.New("one of kind %s has no name", k)
 	}
 	if m.Count <= 1 {
-		return []standIn{{name: m.Name, kind: k, listen: orAnyPort(m.Listen), server: build()}}, nil
+		return []standIn{{name: m.Name, kind: k, listen: addressOrAnyPort(m.Listen), server: build()}}, nil
 	}
 	if m.Listen != "" {
 		return nil, errDescription.New("%s: listen and count exclude each other", m.Name)
 	}
-	set := make([]standIn, m.Count)
-	for i := range set {
-		set[i] = standIn{name: fmt.Sprintf("%s-%d", m.Name, i+1), kind: k, listen: anyPort, server: build()}
+	standIns := make([]standIn, m.Count)
+	for i := range standIns {
+		standIns[i] = standIn{name: fmt.Sprintf("%s-%d", m.Name, i+1), kind: k, listen: anyPort, server: build()}
 	}
-	return set, nil
+	return standIns, nil
 }
 
-func orAnyPort(listen string) string {
+func addressOrAnyPort(listen string) string {
 	if listen == "" {
 		return anyPort
 	}
