--- a/cmd/mangostage-agent/main.go
+++ b/cmd/mangostage-agent/main.go
@@ -1,4 +1,5 @@
-// Command mangostage-agent runs beside one endpoint and is the only way to it.
+// Command mangostage-agent runs next to one endpoint, and all calls to the endpoint
+// go through it.
 package main
 
 import (
