--- a/cmd/mangostage-entry/main.go
+++ b/cmd/mangostage-entry/main.go
@@ -1,4 +1,4 @@
-// Command mangostage-entry takes callers' requests and runs their pipelines.
+// Command mangostage-entry accepts requests from clients and runs their pipelines.
 package main
 
 import (
