--- a/cmd/mangostage-gateway/main.go
+++ b/cmd/mangostage-gateway/main.go
@@ -1,4 +1,4 @@
-// Command mangostage-gateway serves clients on the users' platform.
+// Command mangostage-gateway serves client requests on the users' platform.
 package main
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/mangostage/mangostage/settings"
 )
 
-// gcPercent keeps the heap small: memory at its peak costs more on the
-// platform than the time of a few more collections of some megabytes.
+// gcPercent is below the default of 100 to keep the heap small: on the platform,
+// peak memory costs more than the time of a few more collections of some megabytes.
 const gcPercent = 60
 
 func main() {
