--- a/fake/control.go
+++ b/fake/control.go
@@ -39,8 +39,8 @@
 	// DownForMS crashes the stand-in and keeps it down for this many
 	// milliseconds.
 	DownForMS int `json:"down_for_ms,omitempty"`
-	// CrashOn crashes the stand-in when a run starts whose input contains
-	// this text.
+	// CrashOn crashes the stand-in at the start of each run whose input contains
+	// this text; empty means never.
 	CrashOn *string `json:"crash_on,omitempty"`
 	// SlowFactor multiplies the duration of all work.
 	SlowFactor *float64 `json:"slow_factor,omitempty"`
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -217,8 +217,9 @@
 	return s
 }
 
-// resume returns the generation of an earlier call; if the engine no longer
-// has it or has not got as far, it replies with an error and returns nil.
+// resume returns the generation of an earlier call. If the engine no longer has
+// it, or has generated fewer tokens than the caller has read, resume replies with
+// an error and returns nil.
 func (e *Engine) resume(w http.ResponseWriter, req endpoint.GenerateRequest) *sequence {
 	e.mu.Lock()
 	s := e.streams[req.Call]
--- a/fake/load.go
+++ b/fake/load.go
@@ -37,7 +37,7 @@
 	h.record(inFlight, queued)
 }
 
-// record sets the load and, if reports lag, adds a sample. The lock is held.
+// record sets the load and adds a sample if lag is not zero. The lock is held.
 func (h *loadHistory) record(inFlight, queued int) {
 	h.inFlight, h.queued = inFlight, queued
 	if h.lag == 0 {
--- a/fake/node.go
+++ b/fake/node.go
@@ -34,7 +34,7 @@
 	// HealthLag is the age of the load figures in health replies.
 	HealthLag time.Duration `arg:"--health-lag" yaml:"health_lag" help:"age of reported load"`
 	// OnCrash, if set, is called in place of a simulated crash and restart, for
-	// example to end the process.
+	// example to end the process. A crash by Control.DownForMS does not call it.
 	OnCrash func() `arg:"-" yaml:"-"`
 }
 
