--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// peakHeapGrowth samples the heap recordsEach millisecond while work runs and returns
+// peakHeapGrowth samples the heap every millisecond while work runs and returns
 // its peak growth in bytes.
 func peakHeapGrowth(work func()) float64 {
 	runtime.GC()
@@ -167,11 +167,11 @@
 // number of its records: three at an agent, eight at an entry for a pipeline of
 // three stages, fourteen for one of six.
 func BenchmarkMemoryRecord(b *testing.B) {
-	for _, recordsEach := range []int{3, 8, 14} {
+	for _, recordsPerRequest := range []int{3, 8, 14} {
 		for _, size := range []int{1000, 8000, 64_000} {
-			b.Run(fmt.Sprintf("records=%d/%d", recordsEach, size), func(b *testing.B) {
+			b.Run(fmt.Sprintf("records=%d/%d", recordsPerRequest, size), func(b *testing.B) {
 				for range b.N {
-					growth := measureGrowth(func() any { return filledLedger(size, recordsEach) })
+					growth := measureGrowth(func() any { return filledLedger(size, recordsPerRequest) })
 					reportGrowth(b, growth, size, "request")
 				}
 			})
@@ -179,7 +179,7 @@
 	}
 }
 
-func filledLedger(requests, recordsEach int) *ledger.Store {
+func filledLedger(requests, recordsPerRequest int) *ledger.Store {
 	store := ledger.NewStore(ledger.StoreConfig{MaxRequests: 4 * requests, MaxAge: time.Hour})
 	for i := range requests {
 		r := ledger.Record{
@@ -187,7 +187,7 @@
 			Pipeline: pipelineName(1), Stage: "stage-0", Endpoint: endpointName(i), Attempt: 1,
 			State: api.StageDone, Took: time.Second, Cost: time.Second,
 		}
-		for range recordsEach {
+		for range recordsPerRequest {
 			store.Add(r)
 		}
 	}
