--- a/cmd/mangostage-fake/pool.go
+++ b/cmd/mangostage-fake/pool.go
@@ -34,8 +34,7 @@
 	Close()
 }
 
-// standIn is a stand-in that has not been started and the address for it to
-// listen on.
+// standIn is a stand-in to run and the address that it shall listen on.
 type standIn struct {
 	name   string
 	kind   kind
