--- a/cmd/mangostage/gateway_load.go
+++ b/cmd/mangostage/gateway_load.go
@@ -14,7 +14,7 @@
 )
 
 // gatewayLoad is the command that runs gateways and stand-ins of the platform in
-// this process under load, with the faults of a scenario, and reports the results.
+// this process under load, with the faults of a scenario, and prints the results.
 type gatewayLoad struct {
 	Gateways int     `arg:"--gateways" default:"3" help:"number of gateways"`
 	Seconds  int     `arg:"--seconds" default:"20" help:"length of a run"`
@@ -88,7 +88,7 @@
 }
 
 // runEdgeWithProgress runs one configuration and ends the progress line, if
-// progress is reportable.
+// progress is shown.
 func runEdgeWithProgress(ctx context.Context, cfg load.EdgeConfig, errOut io.Writer) (*load.EdgeReport, error) {
 	report, err := load.RunEdge(ctx, cfg)
 	if cfg.Progress != nil {
--- a/cmd/mangostage/gateway_status.go
+++ b/cmd/mangostage/gateway_status.go
@@ -109,8 +109,8 @@
 // condition is the state of an endpoint, as a gateway reports it.
 type condition struct {
 	paused, leaving, evacuated bool
-	// suspect means that the endpoint gets one piece a call; unreached means that
-	// it is in a failure domain that the queue's owner does not reach.
+	// suspect means that the endpoint gets only one piece a call; unreached means
+	// that it is in a failure domain that the queue's owner does not reach.
 	suspect, unreached bool
 	// cold is the remaining time in which the endpoint, after a cold start, gets
 	// only few calls.
--- a/cmd/mangostage/help.go
+++ b/cmd/mangostage/help.go
@@ -16,8 +16,8 @@
 	onFindings string
 }
 
-// helpByCommand holds the help of each command by its name, which may have several words;
-// the name of the program itself is empty.
+// helpByCommand holds the help of each command by its full name, such as "bundle
+// check"; the program's own help is under the empty name.
 var helpByCommand = map[string]help{
 	"": {
 		examples: []string{
--- a/cmd/mangostage/output.go
+++ b/cmd/mangostage/output.go
@@ -25,7 +25,7 @@
 	return fmt.Errorf("unknown output format %q; known: %s, %s", text, outputText, outputJSON)
 }
 
-// outputArguments are the arguments of all commands that can write JSON.
+// outputArguments are the common arguments of the commands that can write JSON.
 type outputArguments struct {
 	Output outputFormat `arg:"--output" default:"text" help:"text or json"`
 }
