--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -152,7 +152,6 @@
 
 // Placed records which prompts engines have read, as reported by the processes that
 // sent them.
-//
 func (s *Scheduler) Placed(placements []dispatch.Placement) {
 	s.handle(func(_ time.Time, c *dispatch.Core) { c.Placed(placements) })
 }
