--- a/fleet/service.go
+++ b/fleet/service.go
@@ -151,9 +151,9 @@
 	}
 }
 
-// Settled returns a channel that is closed once the owner of the queue is confirmed, or
+// OwnerKnown returns a channel that is closed once the owner of the queue is confirmed, or
 // ownerDecisionTimeout after the start.
-func (s *Service) Settled() <-chan struct{} { return s.ownerDecided }
+func (s *Service) OwnerKnown() <-chan struct{} { return s.ownerDecided }
 
 // Close ends all connections.
 func (s *Service) Close() { s.node.Close() }
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -59,8 +59,8 @@
 	// Lost returns a channel that is closed when the process at the other end of conn is
 	// considered lost.
 	Lost(conn *peer.Conn) <-chan struct{}
-	// Settled returns a channel that is closed once the owner of the queue is known.
-	Settled() <-chan struct{}
+	// OwnerKnown returns a channel that is closed once the owner of the queue is known.
+	OwnerKnown() <-chan struct{}
 }
 
 // Client submits jobs to the owner of the queue, in this process or another one.
@@ -96,7 +96,7 @@
 func (c *Client) Submit(ctx context.Context, j dispatch.Job) (*Lease, error) {
 	began := time.Now()
 	select {
-	case <-c.owners.Settled():
+	case <-c.owners.OwnerKnown():
 	case <-ctx.Done():
 		return nil, ErrCallerLeft.Wrap(ctx.Err(), "before the owner was known")
 	}
--- a/scheduler/remote_test.go
+++ b/scheduler/remote_test.go
@@ -88,7 +88,7 @@
 	return o.lost
 }
 
-func (o *stubOwners) Settled() <-chan struct{} {
+func (o *stubOwners) OwnerKnown() <-chan struct{} {
 	settled := make(chan struct{})
 	close(settled)
 	return settled
