--- a/dispatch/admit.go
+++ b/dispatch/admit.go
@@ -102,7 +102,7 @@
 		ahead := p.demand.onTime.UpTo(s.startBy)
 		wait, short := p.backlogTime(ahead)
 		s.forecastStart = now.Add(wait + c.lag)
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if before := j.stages[a]; before.Pieces > 0 {
 				s.forecastStart = later(s.forecastStart, before.forecastStart.Add(c.pools[before.Service].avgCallTime))
 			}
@@ -249,9 +249,9 @@
 func (c *Core) admitLate(j *job, now time.Time) bool {
 	j.late = true
 	j.updateDemand()
-	limit := time.Duration(lateFactor * float64(j.Usual))
-	if j.Again {
-		limit = min(time.Duration(lateFactorAgain*float64(j.Usual)), time.Duration(stageDeadlineShare*float64(j.deadlineAt.Sub(now))))
+	limit := time.Duration(lateFactor * float64(j.RouteObjective))
+	if j.RefusedBefore {
+		limit = min(time.Duration(lateFactorAgain*float64(j.RouteObjective)), time.Duration(stageDeadlineShare*float64(j.deadlineAt.Sub(now))))
 	}
 	for _, s := range j.stages {
 		if s.Pieces == 0 {
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -22,7 +22,7 @@
 			Inputs:    s.inputs,
 			Remaining: s.job.deadlineAt.Sub(now),
 		}
-		if len(s.After) == 0 {
+		if len(s.DependsOn) == 0 {
 			piece.Key = s.job.PieceKey
 		}
 		effect.Pieces = append(effect.Pieces, piece)
@@ -59,7 +59,7 @@
 	case CallRefused:
 		w.callRefused(now)
 		c.requeueNotRun(cl, now)
-	case CallOther:
+	case CallOtherIncarnation:
 		c.markRemoved(w)
 		c.requeueNotRun(cl, now)
 	case CallLost:
@@ -130,7 +130,7 @@
 	var touched []*job
 	for i, piece := range cl.pieces {
 		s := piece.stage
-		if outcomes[i].Fault == FaultInputs && cl.sentAt.Before(s.job.lostAt) {
+		if outcomes[i].Fault == FaultInputsGone && cl.sentAt.Before(s.job.lostAt) {
 			// Its inputs were lost after the call was sent and are being produced again.
 			c.requeuePieces(s, []int{piece.index})
 			continue
@@ -158,7 +158,7 @@
 func countExecuted(outcomes []Outcome) int {
 	n := 0
 	for _, o := range outcomes {
-		if o.Fault == FaultNone || o.Fault == FaultWork {
+		if o.Fault == FaultNone || o.Fault == FaultWorkFailed {
 			n++
 		}
 	}
@@ -169,7 +169,7 @@
 func countNoMemory(outcomes []Outcome) int {
 	n := 0
 	for _, o := range outcomes {
-		if o.Fault == FaultRoom {
+		if o.Fault == FaultNoMemory {
 			n++
 		}
 	}
@@ -199,20 +199,20 @@
 	}
 	s.failedTries++
 	switch {
-	case fault == FaultInputs || s.failedTries > maxFailedTries:
+	case fault == FaultInputsGone || s.failedTries > maxFailedTries:
 		c.refuse(s.job, ReasonStageFailed, now)
 		return
 	case fault == FaultLate:
 		s.job.recordShortage(s.demandEntry.pool, ResourceCalls)
 		c.refuse(s.job, ReasonDeadline, now)
 		return
-	case fault == FaultRoom:
+	case fault == FaultNoMemory:
 		// The memory accounting is off: the endpoint keeps results that this owner does
 		// not know of. It counts as a failed try: after a loss of all gateways this lasts
 		// for seconds, and jobs that are kept until they can be served delay those after
 		// them.
 		w.pause.Hold(refusalPause, now)
-	case fault == FaultWork:
+	case fault == FaultWorkFailed:
 		s.avoidKey = w.key
 	}
 	c.requeuePieces(s, []int{p.index})
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// Promoted notes that this process has become the queue owner and which fraction
+// BecomeOwner notes that this process has become the queue owner and which fraction
 // of the fleet it is in contact with. An owner with few contacts starts with a
 // small call window: the rest of the fleet may have other owners.
-func (c *Core) Promoted(share float64) {
+func (c *Core) BecomeOwner(share float64) {
 	c.fleetShare = share
 	c.handedOver = false
 	for _, p := range c.pools {
@@ -163,7 +163,7 @@
 func (c *Core) remainingTime(j *job, i int) time.Duration {
 	var longest time.Duration
 	for _, s := range j.stages {
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if a == i {
 				longest = max(longest, c.remainingTime(j, s.index))
 			}
@@ -279,7 +279,7 @@
 	if j.ended {
 		return
 	}
-	c.emit(Refuse{Ticket: j.Ticket, Reason: reason, RetryAfter: c.retryAfter(j), Queue: j.shortService, Short: j.shortResource, Behind: j.lateBy})
+	c.emit(Refuse{Ticket: j.Ticket, Reason: reason, RetryAfter: c.retryAfter(j), ShortService: j.shortService, ShortResource: j.shortResource, LateBy: j.lateBy})
 	c.finish(j, now)
 }
 
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -109,7 +109,7 @@
 	sim.decide = func(c StartCall) (CallFault, Fault) {
 		if c.Service == serviceLight {
 			calls++
-			return CallOK, FaultInputs
+			return CallOK, FaultInputsGone
 		}
 		return CallOK, FaultNone
 	}
@@ -244,7 +244,7 @@
 func TestPlacementsRestorePromptAffinity(t *testing.T) {
 	sim := newSimulation(testView([]string{"north"}, 8))
 	prefix := []catalog.PrefixPart{{ID: "shared", Tokens: 4000}, {ID: "own", Tokens: 100}}
-	sim.core.Placed([]Placement{
+	sim.core.RecordPlacements([]Placement{
 		{Service: serviceModel, Endpoint: "model-north-5", Prefix: prefix},
 		{Service: serviceModel, Endpoint: "gone", Prefix: prefix},
 	})
--- a/dispatch/demand_test.go
+++ b/dispatch/demand_test.go
@@ -90,7 +90,7 @@
 			j.Priority = rapid.IntRange(0, 2).Draw(t, "priority")
 			j.Stages[0].Pieces = rapid.IntRange(0, 6).Draw(t, "heavy")
 			j.TokensIn = rapid.IntRange(100, 5000).Draw(t, "tokens")
-			j.Again = rapid.Bool().Draw(t, "again")
+			j.RefusedBefore = rapid.Bool().Draw(t, "again")
 			sim.submit(j)
 			check()
 			sim.run(time.Duration(rapid.IntRange(0, 6).Draw(t, "gap")) * 10 * time.Millisecond)
--- a/dispatch/effect.go
+++ b/dispatch/effect.go
@@ -68,11 +68,11 @@
 	Reason Reason `json:"reason"`
 	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration `json:"retry_after"`
-	// Queue is the service that was short of a resource, and Short the resource.
-	Queue string   `json:"queue,omitempty"`
-	Short Resource `json:"short,omitempty"`
-	// Behind is how late the job would have started there.
-	Behind time.Duration `json:"behind,omitempty"`
+	// ShortService is the service that was short of a resource, and Short the resource.
+	ShortService  string   `json:"queue,omitempty"`
+	ShortResource Resource `json:"short,omitempty"`
+	// LateBy is how late the job would have started there.
+	LateBy time.Duration `json:"behind,omitempty"`
 }
 
 // Resource is something that a service can be short of.
@@ -145,12 +145,12 @@
 	// FaultLate means that the piece's time had run out before the endpoint worked on
 	// it.
 	FaultLate Fault = "late"
-	// FaultInputs means that an input is no longer kept.
-	FaultInputs Fault = "inputs_gone"
-	// FaultRoom means that there is no memory for the result.
-	FaultRoom Fault = "no_room"
-	// FaultWork means that the work failed.
-	FaultWork Fault = "work_failed"
+	// FaultInputsGone means that an input is no longer kept.
+	FaultInputsGone Fault = "inputs_gone"
+	// FaultNoMemory means that there is no memory for the result.
+	FaultNoMemory Fault = "no_room"
+	// FaultWorkFailed means that the work failed.
+	FaultWorkFailed Fault = "work_failed"
 )
 
 // CallFault says how a whole call failed.
@@ -163,7 +163,7 @@
 	CallRefused CallFault = "refused"
 	// CallLost means that no usable answer came; the call may have run.
 	CallLost CallFault = "lost"
-	// CallOther means that another incarnation answers at the address; the call did
+	// CallOtherIncarnation means that another incarnation answers at the address; the call did
 	// not run.
-	CallOther CallFault = "other_incarnation"
+	CallOtherIncarnation CallFault = "other_incarnation"
 )
--- a/dispatch/incarnation_test.go
+++ b/dispatch/incarnation_test.go
@@ -83,7 +83,7 @@
 				for _, p := range call.Pieces {
 					for _, h := range p.Inputs {
 						if lost[h] {
-							return CallOK, FaultInputs
+							return CallOK, FaultInputsGone
 						}
 					}
 				}
@@ -200,7 +200,7 @@
 	c.SetView(epoch, restartedView(view, 2, "model-north-0"))
 	parts := []catalog.PrefixPart{{ID: "p", Tokens: 9}}
 	place := func(e *catalog.Endpoint) {
-		c.Placed([]Placement{{Service: serviceModel, Endpoint: e.Key(), Prefix: parts}})
+		c.RecordPlacements([]Placement{{Service: serviceModel, Endpoint: e.Key(), Prefix: parts}})
 	}
 	place(view.Endpoints(serviceModel)[0])
 	e := c.modelEngines[serviceModel].all[0]
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -31,11 +31,11 @@
 	Priority int `json:"priority"`
 	// Objective and Deadline are the times left until the objective and the deadline;
 	// Usual is the full objective of a first try.
-	Objective time.Duration `json:"objective"`
-	Deadline  time.Duration `json:"deadline"`
-	Usual     time.Duration `json:"usual"`
-	// Again is true if the client was refused before and has come back.
-	Again bool `json:"again,omitempty"`
+	Objective      time.Duration `json:"objective"`
+	Deadline       time.Duration `json:"deadline"`
+	RouteObjective time.Duration `json:"usual"`
+	// RefusedBefore is true if the client was refused before and has come back.
+	RefusedBefore bool `json:"again,omitempty"`
 	// Avoid lists the Keys of model engines on which the request has failed.
 	Avoid []string `json:"avoid,omitempty"`
 }
@@ -43,8 +43,8 @@
 // StageWork is one stage of a job.
 type StageWork struct {
 	Service string `json:"service"`
-	// After lists the indices of the stages whose results this stage reads.
-	After []int `json:"after,omitempty"`
+	// DependsOn lists the indices of the stages whose results this stage reads.
+	DependsOn []int `json:"after,omitempty"`
 	// Pieces is the number of pieces; a stage with 0 is skipped.
 	Pieces      int   `json:"pieces"`
 	ResultBytes int64 `json:"result_bytes"`
@@ -169,7 +169,7 @@
 
 // ready reports whether all stages that s reads are done.
 func (j *job) ready(s *stage) bool {
-	for _, i := range s.After {
+	for _, i := range s.DependsOn {
 		if !j.stages[i].done() {
 			return false
 		}
@@ -191,7 +191,7 @@
 // collectInputs returns the handles of the results that s reads.
 func (j *job) collectInputs(s *stage) []string {
 	var handles []string
-	for _, i := range s.After {
+	for _, i := range s.DependsOn {
 		for _, r := range j.stages[i].results {
 			handles = append(handles, r.handle)
 		}
@@ -239,7 +239,7 @@
 		if s.Pieces == 0 {
 			continue
 		}
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if a == i {
 				n++
 			}
@@ -253,7 +253,7 @@
 func (j *job) consumed(i int) bool {
 	read := false
 	for _, s := range j.stages {
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if a != i || s.Pieces == 0 {
 				continue
 			}
--- a/dispatch/lag.go
+++ b/dispatch/lag.go
@@ -10,10 +10,10 @@
 	lagMax = time.Second
 )
 
-// Lagged updates the lag with the delay of one event. An owner with an overloaded
+// ObserveLag updates the lag with the delay of one event. An owner with an overloaded
 // processor starts each stage that much later than the queues alone suggest;
 // admission adds the lag, so that the owner accepts no more than it can process.
-func (c *Core) Lagged(late time.Duration) {
+func (c *Core) ObserveLag(late time.Duration) {
 	late = min(max(0, late), lagMax)
 	c.lag += time.Duration(lagWeight * float64(late-c.lag))
 }
--- a/dispatch/lag_test.go
+++ b/dispatch/lag_test.go
@@ -26,7 +26,7 @@
 			c := New("test")
 			c.SetView(epoch, testView([]string{"north"}, 4))
 			for _, lag := range test.lags {
-				c.Lagged(lag)
+				c.ObserveLag(lag)
 			}
 			assert.NilError(t, c.Submit(epoch, tight))
 			assert.Equal(t, c.jobs["a"].late, test.late, "lag %v", c.lag)
--- a/dispatch/locality.go
+++ b/dispatch/locality.go
@@ -20,7 +20,7 @@
 // and have no reason to wait for a particular domain.
 func (c *Core) preferredDomain(j *job, s *stage) string {
 	bytes := make(map[string]int64)
-	for _, a := range s.After {
+	for _, a := range s.DependsOn {
 		for _, r := range j.stages[a].results {
 			bytes[r.worker.endpoint.Domain] += r.bytes
 		}
@@ -63,7 +63,7 @@
 // objective anyway is in no hurry and waits the full time.
 func (s *stage) domainWait() time.Duration {
 	slack := s.startBy.Sub(s.readyAt)
-	if len(s.After) > 0 || slack < 0 {
+	if len(s.DependsOn) > 0 || slack < 0 {
 		return maxDomainWait
 	}
 	return min(maxDomainWait, time.Duration(domainWaitShare*float64(slack)))
--- a/dispatch/locality_test.go
+++ b/dispatch/locality_test.go
@@ -13,8 +13,8 @@
 	j := testJob(ticket)
 	j.Stages = []StageWork{
 		{Service: serviceHeavy, Pieces: 1, ResultBytes: 8_000},
-		{Service: serviceLight, After: []int{0}, Pieces: 8, ResultBytes: 60_000},
-		{Service: serviceLight, After: []int{1}, Pieces: 16, ResultBytes: 6_000},
+		{Service: serviceLight, DependsOn: []int{0}, Pieces: 8, ResultBytes: 60_000},
+		{Service: serviceLight, DependsOn: []int{1}, Pieces: 16, ResultBytes: 6_000},
 	}
 	return j
 }
--- a/dispatch/naive_test.go
+++ b/dispatch/naive_test.go
@@ -100,7 +100,7 @@
 	memory, places := w.freeMemory(p.memoryShare), p.spec.Items
 	for _, s := range stages {
 		patience := maxDomainWait
-		if slack := s.startBy.Sub(s.readyAt); slack >= 0 && len(s.After) == 0 {
+		if slack := s.startBy.Sub(s.readyAt); slack >= 0 && len(s.DependsOn) == 0 {
 			patience = min(maxDomainWait, time.Duration(domainWaitShare*float64(slack)))
 		}
 		elsewhere := s.preferredDomain != "" && s.preferredDomain != w.endpoint.Domain && now.Sub(s.readyAt) < patience && hasUsableWorker(p, s.preferredDomain)
@@ -263,7 +263,7 @@
 			case 1:
 				return CallRefused, FaultNone
 			case 2:
-				return CallOK, FaultRoom
+				return CallOK, FaultNoMemory
 			}
 			return CallOK, FaultNone
 		}
--- a/dispatch/owners_test.go
+++ b/dispatch/owners_test.go
@@ -43,7 +43,7 @@
 	for i := range owners {
 		c := New(fmt.Sprint("owner-", i))
 		c.SetView(epoch, s.view)
-		c.Promoted(share)
+		c.BecomeOwner(share)
 		s.owners = append(s.owners, c)
 	}
 	return s
@@ -225,7 +225,7 @@
 func TestOwnerKeepsRefusedJobs(t *testing.T) {
 	c := New("owner")
 	c.SetView(epoch, testView([]string{"north"}, 1))
-	c.Promoted(1)
+	c.BecomeOwner(1)
 	c.HandOver(epoch)
 	c.Share(1)
 	assert.NilError(t, c.Submit(epoch, testJob("a")))
--- a/dispatch/reach_test.go
+++ b/dispatch/reach_test.go
@@ -15,7 +15,7 @@
 	const cut = "north"
 	view := testView([]string{cut, "south"}, 3)
 	sim := newSimulation(view)
-	sim.core.Promoted(1)
+	sim.core.BecomeOwner(1)
 	sim.core.Reach([]string{cut})
 	in := func(endpoint string) bool { return view.Endpoint(endpoint).Domain == cut }
 	sim.decide = func(c StartCall) (CallFault, Fault) {
@@ -56,7 +56,7 @@
 // domain whose gateways were all lost while its endpoints are healthy.
 func TestUnreachedDomainThatAnswersIsUsed(t *testing.T) {
 	sim := newSimulation(testView([]string{"north", "south"}, 2))
-	sim.core.Promoted(1)
+	sim.core.BecomeOwner(1)
 	sim.core.Reach([]string{"north"})
 	calls := recordCalls(sim)
 	sim.burst(40, 2*time.Second)
--- a/dispatch/replaced.go
+++ b/dispatch/replaced.go
@@ -139,7 +139,7 @@
 		if s.done() {
 			continue
 		}
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			input := j.stages[a]
 			if !input.freed {
 				continue
--- a/dispatch/restarts_test.go
+++ b/dispatch/restarts_test.go
@@ -25,7 +25,7 @@
 			for _, p := range call.Pieces {
 				for _, h := range p.Inputs {
 					if lost[h] {
-						return CallOK, FaultInputs
+						return CallOK, FaultInputsGone
 					}
 				}
 			}
--- a/dispatch/shortage_test.go
+++ b/dispatch/shortage_test.go
@@ -55,8 +55,8 @@
 			of := make(map[Resource]int)
 			for _, r := range refused {
 				assert.Equal(t, r.Reason, ReasonOverload)
-				assert.Assert(t, r.Queue != "" && r.Short != "", "%+v", r)
-				of[r.Short]++
+				assert.Assert(t, r.ShortService != "" && r.ShortResource != "", "%+v", r)
+				of[r.ShortResource]++
 			}
 			assert.Assert(t, of[test.short] > len(refused)/2, "%v", of)
 		})
@@ -67,7 +67,7 @@
 			e.Leaving = e.Service == serviceModel
 		}
 		refused := refusals(view, 1, burst(8_000))
-		assert.Equal(t, refused[0].Queue, serviceModel)
-		assert.Equal(t, refused[0].Short, ResourceEndpoints)
+		assert.Equal(t, refused[0].ShortService, serviceModel)
+		assert.Equal(t, refused[0].ShortResource, ResourceEndpoints)
 	})
 }
--- a/dispatch/simulation_test.go
+++ b/dispatch/simulation_test.go
@@ -60,10 +60,10 @@
 		Stages: []StageWork{
 			{Service: serviceHeavy, Pieces: 2, ResultBytes: 3_000_000},
 			{Service: serviceHeavy, Pieces: 1, ResultBytes: 8_000},
-			{Service: serviceLight, After: []int{1}, Pieces: 8, ResultBytes: 60_000},
+			{Service: serviceLight, DependsOn: []int{1}, Pieces: 8, ResultBytes: 60_000},
 		},
 		TokensIn: 1000, TokensOut: 50,
-		Objective: 1500 * time.Millisecond, Usual: 1500 * time.Millisecond, Deadline: 6 * time.Second,
+		Objective: 1500 * time.Millisecond, RouteObjective: 1500 * time.Millisecond, Deadline: 6 * time.Second,
 	}
 }
 
@@ -99,9 +99,9 @@
 		case 1:
 			return CallRefused, FaultNone
 		case 2:
-			return CallOK, FaultWork
+			return CallOK, FaultWorkFailed
 		case 3:
-			return CallOK, FaultRoom
+			return CallOK, FaultNoMemory
 		}
 		return CallOK, FaultNone
 	}
--- a/dispatch/speed_test.go
+++ b/dispatch/speed_test.go
@@ -80,7 +80,7 @@
 // take no time.
 func TestCallsWithoutWorkDoNotUpdateSpeed(t *testing.T) {
 	const back = 2 * time.Millisecond
-	for _, fault := range []Fault{FaultRoom, FaultLate, FaultInputs} {
+	for _, fault := range []Fault{FaultNoMemory, FaultLate, FaultInputsGone} {
 		c := New("test")
 		c.SetView(epoch, testView([]string{"north"}, 1))
 		w := c.pools[serviceHeavy].workers[0]
--- a/dispatch/tick.go
+++ b/dispatch/tick.go
@@ -111,9 +111,9 @@
 	return "", false
 }
 
-// Holds reports whether a call or a Free is in flight, or results are kept that
+// HasUnfinishedStages reports whether a call or a Free is in flight, or results are kept that
 // only this process can free.
-func (c *Core) Holds() bool {
+func (c *Core) HasUnfinishedStages() bool {
 	if len(c.calls) > 0 || len(c.pendingFrees) > 0 {
 		return true
 	}
@@ -143,9 +143,9 @@
 	c.finish(j, now)
 }
 
-// Placed records which prompts engines have read, as reported by the processes
+// RecordPlacements records which prompts engines have read, as reported by the processes
 // that sent them, for an owner that takes over.
-func (c *Core) Placed(placements []Placement) {
+func (c *Core) RecordPlacements(placements []Placement) {
 	for _, p := range placements {
 		es := c.modelEngines[p.Service]
 		if es == nil || es.byKey[p.Endpoint] == nil {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -32,7 +32,7 @@
 func (a singleProcess) OwnerConn() *peer.Conn           { return nil }
 func (a singleProcess) Owns() bool                      { return true }
 func (a singleProcess) Lost(*peer.Conn) <-chan struct{} { return nil }
-func (a singleProcess) OwnerKnown() <-chan struct{}        { return a.settled }
+func (a singleProcess) OwnerKnown() <-chan struct{}     { return a.settled }
 func newSingleProcess() singleProcess {
 	a := singleProcess{make(chan struct{})}
 	close(a.settled)
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -82,7 +82,7 @@
 		return nil, giveUp(m.request, m.endReason("queue_unreachable"), overloadRetryAfter)
 	case lease.Refuse != nil:
 		p := giveUp(m.request, string(lease.Refuse.Reason), lease.Refuse.RetryAfter)
-		p.queue, p.shortOf, p.lateness = lease.Refuse.Queue, lease.Refuse.Short, lease.Refuse.Behind
+		p.queue, p.shortOf, p.lateness = lease.Refuse.ShortService, lease.Refuse.ShortResource, lease.Refuse.LateBy
 		return nil, p
 	}
 	m.endpointChosenAt = time.Now()
@@ -95,24 +95,24 @@
 // job describes the request to the queue owner.
 func (m *modelRequest) job(domain string) dispatch.Job {
 	j := dispatch.Job{
-		Ticket:    m.ID + "#" + strconv.Itoa(m.submits),
-		Request:   m.ID,
-		Service:   m.serviceName,
-		Route:     m.route.Name,
-		Account:   m.accountName(),
-		Domain:    domain,
-		PieceKey:  m.PieceKey,
-		Prefix:    m.Prefix,
-		TokensIn:  m.TokensIn,
-		TokensOut: m.TokensOut,
-		Priority:  m.priority(),
-		Objective: m.route.Objective - m.age - time.Since(m.arrived),
-		Deadline:  m.remaining(),
-		Usual:     m.route.Objective,
-		Again:     m.age > 0,
+		Ticket:         m.ID + "#" + strconv.Itoa(m.submits),
+		Request:        m.ID,
+		Service:        m.serviceName,
+		Route:          m.route.Name,
+		Account:        m.accountName(),
+		Domain:         domain,
+		PieceKey:       m.PieceKey,
+		Prefix:         m.Prefix,
+		TokensIn:       m.TokensIn,
+		TokensOut:      m.TokensOut,
+		Priority:       m.priority(),
+		Objective:      m.route.Objective - m.age - time.Since(m.arrived),
+		Deadline:       m.remaining(),
+		RouteObjective: m.route.Objective,
+		RefusedBefore:  m.age > 0,
 	}
 	for i, s := range m.route.Stages {
-		work := dispatch.StageWork{Service: s.Service, After: s.After, ResultBytes: s.ResultBytes}
+		work := dispatch.StageWork{Service: s.Service, DependsOn: s.After, ResultBytes: s.ResultBytes}
 		if i < len(m.Pieces) {
 			work.Pieces = m.Pieces[i]
 		}
--- a/scheduler/remote_test.go
+++ b/scheduler/remote_test.go
@@ -122,7 +122,7 @@
 	return dispatch.Job{
 		Ticket: ticket, Request: ticket, Service: "model", Route: "r", PieceKey: "k",
 		Stages:    []dispatch.StageWork{{Service: "stage", Pieces: 1, ResultBytes: 10}},
-		Objective: 5 * time.Second, Usual: 5 * time.Second, Deadline: 8 * time.Second,
+		Objective: 5 * time.Second, RouteObjective: 5 * time.Second, Deadline: 8 * time.Second,
 	}
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -153,7 +153,7 @@
 // Placed records which prompts engines have read, as reported by the processes that
 // sent them.
 func (s *Scheduler) Placed(placements []dispatch.Placement) {
-	s.handle(func(_ time.Time, c *dispatch.Core) { c.Placed(placements) })
+	s.handle(func(_ time.Time, c *dispatch.Core) { c.RecordPlacements(placements) })
 }
 
 // HandOver returns the jobs that have not begun to the processes that submitted them,
@@ -166,7 +166,7 @@
 // of the fleet it reaches.
 func (s *Scheduler) Promoted(r fleet.Reach) {
 	s.handle(func(_ time.Time, c *dispatch.Core) {
-		c.Promoted(r.Share)
+		c.BecomeOwner(r.Share)
 		c.Reach(r.Unreached)
 	})
 }
@@ -184,7 +184,7 @@
 func (s *Scheduler) Holds() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.Holds()
+	return s.core.HasUnfinishedStages()
 }
 
 // Stats returns the state of the queues.
@@ -199,7 +199,7 @@
 func (s *Scheduler) lock(arrived time.Time) time.Time {
 	s.mu.Lock()
 	now := time.Now()
-	s.core.Lagged(now.Sub(arrived))
+	s.core.ObserveLag(now.Sub(arrived))
 	return now
 }
 
@@ -289,7 +289,7 @@
 	case errorx.IsOfType(err, platform.ErrNotRun):
 		return dispatch.CallRefused
 	case errorx.IsOfType(err, platform.ErrOther):
-		return dispatch.CallOther
+		return dispatch.CallOtherIncarnation
 	}
 	return dispatch.CallLost
 }
@@ -299,17 +299,17 @@
 	switch r.Reason {
 	case platform.ReasonNone:
 		if r.Handle == "" {
-			return dispatch.FaultWork
+			return dispatch.FaultWorkFailed
 		}
 		return dispatch.FaultNone
 	case platform.ReasonLate:
 		return dispatch.FaultLate
 	case platform.ReasonGone:
-		return dispatch.FaultInputs
+		return dispatch.FaultInputsGone
 	case platform.ReasonRoom:
-		return dispatch.FaultRoom
+		return dispatch.FaultNoMemory
 	}
-	return dispatch.FaultWork
+	return dispatch.FaultWorkFailed
 }
 
 // freeResults frees results at an endpoint. A failure is only logged, because the
