--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -129,8 +129,8 @@
 		StoreAt: func() uint64 { return g.follower.At() },
 
 		StoreSteady: func() bool { return g.follower.Steady() },
-		OnPromoted:  g.scheduler.Promoted,
-		OnReach:     g.scheduler.Reach,
+		OnPromoted:  g.scheduler.BecomeOwner,
+		OnReach:     g.scheduler.SetReach,
 		OnDemoted:   g.scheduler.HandOver,
 	})
 	g.follower = discovery.NewFollower(store, discovery.NewPeerRelay(g.fleet, g.log), p.Bounds.ConfigApply, g.log, g.publishView)
@@ -328,7 +328,7 @@
 // this process has started as the owner of the queue: requests of other gateways
 // wait for those stages and would have to start again.
 func (g *Gateway) awaitDrained(ctx context.Context) {
-	for (g.gateway.InFlight() > 0 || g.scheduler.Holds()) && ctx.Err() == nil {
+	for (g.gateway.InFlight() > 0 || g.scheduler.HasUnfinishedStages()) && ctx.Err() == nil {
 		sleep.For(ctx, drainPollInterval)
 	}
 }
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -37,7 +37,7 @@
 	})
 	peer.HandleNote(mux, MethodCancel, func(_ *peer.Conn, n Note) { s.Cancel(n.Ticket) })
 	peer.HandleNote(mux, MethodFirst, func(_ *peer.Conn, n Note) { s.FirstEvent(n.Ticket) })
-	peer.HandleNote(mux, MethodPlaced, func(_ *peer.Conn, p []dispatch.Placement) { s.Placed(p) })
+	peer.HandleNote(mux, MethodPlaced, func(_ *peer.Conn, p []dispatch.Placement) { s.RecordPlacements(p) })
 	peer.HandleNote(mux, MethodDone, func(_ *peer.Conn, n Note) { s.Done(n.Ticket, n.Served) })
 }
 
@@ -152,7 +152,7 @@
 	switch {
 	case len(recent) == 0:
 	case conn == nil:
-		c.local.Placed(recent)
+		c.local.RecordPlacements(recent)
 	default:
 		if err := conn.Notify(MethodPlaced, recent); err != nil {
 			c.log.Debug().Str("event", logOwnerNotTold).Err(err).Msg(MethodPlaced)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -150,9 +150,9 @@
 	s.handle(func(now time.Time, c *dispatch.Core) { c.Done(now, ticket, served) })
 }
 
-// Placed records which prompts engines have read, as reported by the processes that
+// RecordPlacements records which prompts engines have read, as reported by the processes that
 // sent them.
-func (s *Scheduler) Placed(placements []dispatch.Placement) {
+func (s *Scheduler) RecordPlacements(placements []dispatch.Placement) {
 	s.handle(func(_ time.Time, c *dispatch.Core) { c.RecordPlacements(placements) })
 }
 
@@ -162,26 +162,26 @@
 	s.handle(func(now time.Time, c *dispatch.Core) { c.HandOver(now) })
 }
 
-// Promoted records that this process has become the owner of the queue, and which part
+// BecomeOwner records that this process has become the owner of the queue, and which part
 // of the fleet it reaches.
-func (s *Scheduler) Promoted(r fleet.Reach) {
+func (s *Scheduler) BecomeOwner(r fleet.Reach) {
 	s.handle(func(_ time.Time, c *dispatch.Core) {
 		c.BecomeOwner(r.Share)
 		c.Reach(r.Unreached)
 	})
 }
 
-// Reach updates the part of the fleet that the owner reaches.
-func (s *Scheduler) Reach(r fleet.Reach) {
+// SetReach updates the part of the fleet that the owner reaches.
+func (s *Scheduler) SetReach(r fleet.Reach) {
 	s.handle(func(_ time.Time, c *dispatch.Core) {
 		c.Share(r.Share)
 		c.Reach(r.Unreached)
 	})
 }
 
-// Holds reports whether this process has begun stages, for itself or others, whose
+// HasUnfinishedStages reports whether this process has begun stages, for itself or others, whose
 // results would be lost, or kept without use, if it ended now.
-func (s *Scheduler) Holds() bool {
+func (s *Scheduler) HasUnfinishedStages() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core.HasUnfinishedStages()
