--- a/entry/effects.go
+++ b/entry/effects.go
@@ -191,8 +191,8 @@
 		return
 	}
 	if o.Outcome == route.CallSucceeded {
-		if !e.pauses.pausedSince(now.Add(-o.Took), now) {
-			e.estimates.Observe(route.StageKey{Pool: o.Pool, Stage: o.Stage}, o.Took-o.Queued, now)
+		if !e.pauses.pausedSince(now.Add(-o.Elapsed), now) {
+			e.estimates.Observe(route.StageKey{Pool: o.Pool, Stage: o.Stage}, o.Elapsed-o.Queued, now)
 		}
 		e.current.Load().retry.Success(o.Pool, now)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -317,7 +317,7 @@
 	for _, pool := range e.core.WaitingPools() {
 		now := e.cfg.Now()
 		if room := e.fleet.waitingCapacity(pool, now); room > 0 {
-			e.runEffects(e.core.EndpointsBack(now, pool, room))
+			e.runEffects(e.core.EndpointsAvailable(now, pool, room))
 		}
 	}
 }
--- a/entry/identity.go
+++ b/entry/identity.go
@@ -71,7 +71,7 @@
 	}
 	s.admit.RequestID = token
 	s.admit.Bindings = fields.Bindings
-	s.admit.MayHaveEarlier = true
+	s.admit.PossibleResubmission = true
 	s.admit.Identity = wire.Identity{
 		Kind:     wire.IdentityHeld,
 		Value:    token,
@@ -86,7 +86,7 @@
 		return &rejection{api.ReasonBadRequest, "the idempotency key is not 1 to 255 printable ASCII characters"}
 	}
 	s.admit.RequestID = e.newRequestID(s.account.Name, s.pipeline.Name)
-	s.admit.MayHaveEarlier = true
+	s.admit.PossibleResubmission = true
 	s.admit.Identity = wire.Identity{
 		Kind: wire.IdentityKey,
 		// Names of accounts and pipelines contain no NUL, so keys of different
--- a/pipeline/core_test.go
+++ b/pipeline/core_test.go
@@ -78,7 +78,7 @@
 		Account: &bundle.Account{Name: "account"}, Deadline: epoch.Add(time.Second), Input: quote("in"),
 		Bundle:   &bundle.Bundle{Version: 7, Policy: bundle.Policy{MaxAttempts: 2, HedgeAfter: 0.9}},
 		Pipeline: &bundle.Pipeline{Name: "p", Stages: stages}, Bindings: make(map[string]wire.Binding),
-		MayHaveEarlier: kind != wire.IdentityMinted,
+		PossibleResubmission: kind != wire.IdentityMinted,
 	}
 	for _, s := range stages {
 		if s.Unrepeatable {
--- a/pipeline/effect.go
+++ b/pipeline/effect.go
@@ -127,8 +127,8 @@
 	Stage    string
 	Endpoint string
 	Outcome  route.CallOutcome
-	// Took is the time from the Call until its end as seen by this entry.
-	Took time.Duration
+	// Elapsed is the time from the Call until its end as seen by this entry.
+	Elapsed time.Duration
 	// Queued and Ran are, as reported by the agent, the time that the call
 	// waited and the time that it ran on the endpoint; zero if no agent
 	// answered.
--- a/pipeline/event.go
+++ b/pipeline/event.go
@@ -34,9 +34,9 @@
 	// Bindings gives, by stage name, the only agent run that may execute an
 	// unrepeatable stage. Binding.Agent is the name of its endpoint.
 	Bindings map[string]wire.Binding
-	// MayHaveEarlier is true when the same identity may have been submitted
+	// PossibleResubmission is true when the same identity may have been submitted
 	// before, to this entry or another.
-	MayHaveEarlier bool
+	PossibleResubmission bool
 	// AffinityHash groups requests that share a prompt prefix; zero if there is
 	// none.
 	AffinityHash uint64
--- a/pipeline/late.go
+++ b/pipeline/late.go
@@ -90,7 +90,7 @@
 func (c *lateCall) observe(now time.Time, outcome route.CallOutcome) Observe {
 	return Observe{
 		CallID: c.id, Pool: c.pool, Stage: c.id.Stage, Endpoint: c.endpoint, Outcome: outcome,
-		Took: now.Sub(c.sentAt), Revoked: c.revoked, Late: true, Fingerprint: c.fingerprint,
+		Elapsed: now.Sub(c.sentAt), Revoked: c.revoked, Late: true, Fingerprint: c.fingerprint,
 	}
 }
 
--- a/pipeline/model_test.go
+++ b/pipeline/model_test.go
@@ -273,7 +273,7 @@
 		sim.schedule(sim.pausedUntil.Sub(sim.now), func() { sim.endpointsBack(pool) })
 		return
 	}
-	for _, effect := range sim.core.EndpointsBack(sim.now, pool, rapid.IntRange(1, 3).Draw(sim.T, "places")) {
+	for _, effect := range sim.core.EndpointsAvailable(sim.now, pool, rapid.IntRange(1, 3).Draw(sim.T, "places")) {
 		sim.apply(effect)
 	}
 }
--- a/pipeline/property_test.go
+++ b/pipeline/property_test.go
@@ -38,9 +38,9 @@
 	a := Admit{
 		RequestID: fmt.Sprint("request", i), Account: &bundle.Account{Name: "account"}, Bundle: sim.bundle,
 		Pipeline: sim.pipeline(), Input: quote(fmt.Sprint("input", i)), Stream: sim.chance("stream", 30),
-		Identity:       wire.Identity{Kind: kind, Value: fmt.Sprint("identity", i)},
-		Bindings:       make(map[string]wire.Binding),
-		MayHaveEarlier: kind != wire.IdentityMinted,
+		Identity:             wire.Identity{Kind: kind, Value: fmt.Sprint("identity", i)},
+		Bindings:             make(map[string]wire.Binding),
+		PossibleResubmission: kind != wire.IdentityMinted,
 	}
 	for _, stage := range a.Pipeline.Stages {
 		owner := sim.agents[fmt.Sprint(stage.Pool, i%3)]
@@ -52,7 +52,7 @@
 			a.Bindings[stage.Name] = b
 		}
 	}
-	if a.MayHaveEarlier && sim.chance("earlier sending", 30) {
+	if a.PossibleResubmission && sim.chance("earlier sending", 30) {
 		sim.addEarlierRun(a)
 	}
 	sim.submit(a, 1)
--- a/pipeline/request.go
+++ b/pipeline/request.go
@@ -173,7 +173,7 @@
 	if r.Identity.Kind == wire.IdentityKey && !r.hasUnrepeatable() {
 		return false
 	}
-	return r.MayHaveEarlier
+	return r.PossibleResubmission
 }
 
 // hasAttemptIn reports whether some attempt is in state s.
--- a/pipeline/result.go
+++ b/pipeline/result.go
@@ -95,7 +95,7 @@
 func (t *transition) observe(a *attempt, outcome route.CallOutcome) Observe {
 	return Observe{
 		CallID: a.id, Pool: a.pool, Stage: a.id.Stage, Endpoint: a.endpoint, Outcome: outcome,
-		Took: t.now.Sub(a.sentAt), Revoked: a.revoked, Fingerprint: t.r.contentKey(a.stage),
+		Elapsed: t.now.Sub(a.sentAt), Revoked: a.revoked, Fingerprint: t.r.contentKey(a.stage),
 	}
 }
 
--- a/pipeline/wait.go
+++ b/pipeline/wait.go
@@ -20,13 +20,13 @@
 // WaitingPools lists the pools in which requests wait for an endpoint.
 func (c *Core) WaitingPools() []string { return c.waiting.poolNames() }
 
-// EndpointsBack reports that endpoints of a pool may accept work again. It
+// EndpointsAvailable reports that endpoints of a pool may accept work again. It
 // starts up to slots of the waiting requests, those with the least time left
 // first. Not all are started at once, because an endpoint that has just
 // restarted would refuse the calls that exceed its queue.
 //
 // Like EndpointEjected, it affects requests of several shards.
-func (c *Core) EndpointsBack(now time.Time, pool string, slots int) []Effect {
+func (c *Core) EndpointsAvailable(now time.Time, pool string, slots int) []Effect {
 	var effects []Effect
 	var stillWaiting []*waiter
 	for slots > 0 && len(stillWaiting) < maxFailedResumes {
--- a/pipeline/wait_test.go
+++ b/pipeline/wait_test.go
@@ -67,7 +67,7 @@
 func (d *driver) endpointsBack(pool *poolPicker, slots int) {
 	d.now = d.now.Add(ms)
 	pool.unavailable, pool.reportedAt = false, d.now
-	effects := d.core.EndpointsBack(d.now, "a", slots)
+	effects := d.core.EndpointsAvailable(d.now, "a", slots)
 	d.effects = append(d.effects, effects...)
 	for _, e := range effects {
 		if c, ok := e.(Call); ok {
