--- a/api/api.go
+++ b/api/api.go
@@ -77,7 +77,7 @@
 	Endpoint string        `json:"endpoint,omitempty"`
 	Attempt  int           `json:"attempt"`
 	State    StageState    `json:"state"`
-	Took     time.Duration `json:"took_ns"`
+	Elapsed  time.Duration `json:"took_ns"`
 }
 
 // StageState is the state of one attempt of a stage, as far as it is known for certain.
--- a/integration/traffic_test.go
+++ b/integration/traffic_test.go
@@ -158,7 +158,7 @@
 	}
 	text := fmt.Sprintf("%s, %s, %s", p.Outcome, p.Reason, p.Detail)
 	for _, run := range p.Stages {
-		text += fmt.Sprintf("; %s on %s: %s after %v", run.Stage, run.Endpoint, run.State, run.Took)
+		text += fmt.Sprintf("; %s on %s: %s after %v", run.Stage, run.Endpoint, run.State, run.Elapsed)
 	}
 	return text
 }
--- a/pipeline/request.go
+++ b/pipeline/request.go
@@ -221,7 +221,7 @@
 	runs := make([]api.StageRun, 0, len(r.attempts))
 	for _, a := range r.attempts {
 		runs = append(runs, api.StageRun{
-			Stage: a.id.Stage, Endpoint: a.endpoint, Attempt: a.id.Attempt, State: a.state(), Took: a.elapsed,
+			Stage: a.id.Stage, Endpoint: a.endpoint, Attempt: a.id.Attempt, State: a.state(), Elapsed: a.elapsed,
 		})
 	}
 	return runs
