--- a/entry/policies.go
+++ b/entry/policies.go
@@ -16,7 +16,7 @@
 func (p *policies) router(*bundle.Policy) route.Router { return p.current.Load().router }
 
 // Decide implements pipeline.Retrier.
-func (p *policies) Decide(f retry.Failure, now time.Time) retry.Verdict {
+func (p *policies) Decide(f retry.Failure, now time.Time) retry.Decision {
 	return p.current.Load().retry.Decide(f, now)
 }
 
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -178,7 +178,7 @@
 // sends.
 func (g *Gateway) countFirstSend(req *request, tries *attempts) {
 	if tries.runs+tries.rejections == 0 {
-		g.retryBudget.First(req.serviceName, time.Now())
+		g.retryBudget.CountFirst(req.serviceName, time.Now())
 	}
 }
 
@@ -203,7 +203,7 @@
 	if _, ok := g.finishesBeforeShutdown(req); !ok {
 		return false
 	}
-	return g.retryBudget.Take(req.serviceName, g.retrySlack(), time.Now())
+	return g.retryBudget.TryRepeat(req.serviceName, g.retrySlack(), time.Now())
 }
 
 // finishUnserved answers a request that no endpoint served: with the last error
--- a/pipeline/model_test.go
+++ b/pipeline/model_test.go
@@ -280,8 +280,8 @@
 
 // Decide implements Retrier without checking anything, so that rules that hold
 // for every policy are tested in the core alone.
-func (sim *simulation) Decide(retry.Failure, time.Time) retry.Verdict {
-	return retry.Verdict{Retry: sim.chance("retry", 80)}
+func (sim *simulation) Decide(retry.Failure, time.Time) retry.Decision {
+	return retry.Decision{Retry: sim.chance("retry", 80)}
 }
 
 // Hedge implements Retrier.
--- a/pipeline/ports.go
+++ b/pipeline/ports.go
@@ -25,7 +25,7 @@
 type Retrier interface {
 	// Decide decides whether a failed attempt is retried, and charges the
 	// budget if it is.
-	Decide(f retry.Failure, now time.Time) retry.Verdict
+	Decide(f retry.Failure, now time.Time) retry.Decision
 	// Hedge reports whether a hedge may start, and charges the budget if it
 	// may.
 	Hedge(pool string, now time.Time) bool
@@ -81,14 +81,14 @@
 // repeatability and the remaining time.
 type unlimitedRetrier struct{}
 
-func (unlimitedRetrier) Decide(f retry.Failure, _ time.Time) retry.Verdict {
+func (unlimitedRetrier) Decide(f retry.Failure, _ time.Time) retry.Decision {
 	if f.Unrepeatable && f.Status != wire.StatusRefused {
-		return retry.Verdict{Reason: retry.ReasonUnrepeatable}
+		return retry.Decision{Reason: retry.ReasonUnrepeatable}
 	}
 	if f.Remaining < f.Need {
-		return retry.Verdict{Reason: retry.ReasonNoTime}
+		return retry.Decision{Reason: retry.ReasonNoTime}
 	}
-	return retry.Verdict{Retry: true, Reason: retry.ReasonRetry}
+	return retry.Decision{Retry: true, Reason: retry.ReasonRetry}
 }
 
 func (unlimitedRetrier) Hedge(string, time.Time) bool { return true }
--- a/retry/adaptive.go
+++ b/retry/adaptive.go
@@ -28,18 +28,18 @@
 
 // Decide implements Policy. It checks the budget last, so that a retry that is
 // not made is not charged.
-func (a *adaptive) Decide(f Failure, now time.Time) Verdict {
+func (a *adaptive) Decide(f Failure, now time.Time) Decision {
 	switch {
 	case !repeatable(f):
-		return Verdict{Reason: ReasonUnrepeatable}
+		return Decision{Reason: ReasonUnrepeatable}
 	case f.Attempts >= a.maxAttempts:
-		return Verdict{Reason: ReasonAttempts}
+		return Decision{Reason: ReasonAttempts}
 	case f.Remaining < f.Need:
-		return Verdict{Reason: ReasonNoTime}
+		return Decision{Reason: ReasonNoTime}
 	case !f.NotReached && !a.budget.Take(f.Pool, now):
-		return Verdict{Reason: ReasonBudget}
+		return Decision{Reason: ReasonBudget}
 	default:
-		return Verdict{Retry: true, Reason: ReasonRetry}
+		return Decision{Retry: true, Reason: ReasonRetry}
 	}
 }
 
--- a/retry/naive.go
+++ b/retry/naive.go
@@ -23,14 +23,14 @@
 type naive struct{}
 
 // Decide implements Policy.
-func (naive) Decide(f Failure, _ time.Time) Verdict {
+func (naive) Decide(f Failure, _ time.Time) Decision {
 	if !repeatable(f) {
-		return Verdict{Reason: ReasonUnrepeatable}
+		return Decision{Reason: ReasonUnrepeatable}
 	}
 	if f.Attempts > naiveRetries {
-		return Verdict{Reason: ReasonAttempts}
+		return Decision{Reason: ReasonAttempts}
 	}
-	return Verdict{Retry: true, Reason: ReasonRetry}
+	return Decision{Retry: true, Reason: ReasonRetry}
 }
 
 // Success implements Policy.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -54,8 +54,8 @@
 	ReasonBudget       Reason = "budget_empty"
 )
 
-// Verdict is the result of Decide.
-type Verdict struct {
+// Decision is the result of Decide.
+type Decision struct {
 	Retry  bool
 	Reason Reason
 }
@@ -64,7 +64,7 @@
 type Policy interface {
 	// Decide decides whether a failed attempt is retried, and charges the
 	// budget if it is.
-	Decide(f Failure, now time.Time) Verdict
+	Decide(f Failure, now time.Time) Decision
 	// Success refills the budget of a pool after a successful call.
 	Success(pool string, now time.Time)
 	// Hedge reports whether a hedge may start, and charges the budget if it
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -53,9 +53,9 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			got := newPolicy(t, bundle.PolicyAdaptive).Decide(test.failure, start)
-			assert.DeepEqual(t, got, Verdict{Retry: test.adaptive == ReasonRetry, Reason: test.adaptive})
+			assert.DeepEqual(t, got, Decision{Retry: test.adaptive == ReasonRetry, Reason: test.adaptive})
 			got = newPolicy(t, bundle.PolicyNaive).Decide(test.failure, start)
-			assert.DeepEqual(t, got, Verdict{Retry: test.naive == ReasonRetry, Reason: test.naive})
+			assert.DeepEqual(t, got, Decision{Retry: test.naive == ReasonRetry, Reason: test.naive})
 		})
 	}
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -42,18 +42,18 @@
 	return &Window{span: span, ratio: ratio, services: make(map[string]*serviceWindow)}
 }
 
-// First counts the first send of a request.
-func (w *Window) First(service string, now time.Time) {
+// CountFirst counts the first send of a request.
+func (w *Window) CountFirst(service string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := w.advance(service, now)
 	counts.first[counts.bucket%windowBuckets]++
 }
 
-// Take counts a repeated send and reports whether the bound allows it; a send
+// TryRepeat counts a repeated send and reports whether the bound allows it; a send
 // that is not allowed is not counted. slack is this process's share of the
 // fleet's slack.
-func (w *Window) Take(service string, slack float64, now time.Time) bool {
+func (w *Window) TryRepeat(service string, slack float64, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := w.advance(service, now)
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -14,14 +14,14 @@
 	w := retry.NewWindow(10*time.Second, 0.2)
 	now := time.Now()
 	for range 10 {
-		w.First("s", now)
+		w.CountFirst("s", now)
 	}
-	assert.Assert(t, w.Take("s", 0, now))
-	assert.Assert(t, w.Take("s", 0, now))
-	assert.Assert(t, !w.Take("s", 0, now), "2 of 10")
-	assert.Assert(t, w.Take("s", 1, now), "the slack")
-	assert.Assert(t, !w.Take("other", 0, now))
-	assert.Assert(t, !w.Take("s", 0, now.Add(11*time.Second)), "the first sends are forgotten too")
+	assert.Assert(t, w.TryRepeat("s", 0, now))
+	assert.Assert(t, w.TryRepeat("s", 0, now))
+	assert.Assert(t, !w.TryRepeat("s", 0, now), "2 of 10")
+	assert.Assert(t, w.TryRepeat("s", 1, now), "the slack")
+	assert.Assert(t, !w.TryRepeat("other", 0, now))
+	assert.Assert(t, !w.TryRepeat("s", 0, now.Add(11*time.Second)), "the first sends are forgotten too")
 }
 
 // Whenever a repeated send is allowed, the window that ends there has no more
@@ -37,11 +37,11 @@
 		for range rapid.IntRange(1, 150).Draw(t, "sends") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-				w.First("s", now)
+				w.CountFirst("s", now)
 				firsts = append(firsts, now)
 				continue
 			}
-			if !w.Take("s", slack, now) {
+			if !w.TryRepeat("s", slack, now) {
 				continue
 			}
 			repeats = append(repeats, now)
