--- a/balance/balance.go
+++ b/balance/balance.go
@@ -145,12 +145,12 @@
 	return s
 }
 
-// Ended records the outcome and the latency of a request that Pick counted at
+// Done records the outcome and the latency of a request that Pick counted at
 // the endpoint with that Key. A Key identifies one process of an endpoint, so
 // that outcomes of an ended process do not count for its successor. load is the
 // number of running and waiting requests that the endpoint reported; negative
 // if it reported none.
-func (b *Balancer) Ended(now time.Time, key string, outcome Outcome, latency time.Duration, load int) {
+func (b *Balancer) Done(now time.Time, key string, outcome Outcome, latency time.Duration, load int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(key)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -60,10 +60,10 @@
 	list := endpoints("north", "south")
 	for range 3 {
 		b.Pick(epoch, list[:1], nil, 1)
-		b.Ended(epoch, "0", Failed, time.Millisecond, -1)
+		b.Done(epoch, "0", Failed, time.Millisecond, -1)
 	}
 	assert.Equal(t, pick(b, list), "1")
-	b.Ended(epoch, "1", Served, initialLatency, -1)
+	b.Done(epoch, "1", Served, initialLatency, -1)
 	later := epoch.Add(30 * time.Second)
 	assert.Equal(t, b.Pick(later, list, nil, 1).ID, "0")
 }
@@ -74,7 +74,7 @@
 	list := endpoints("north", "south")
 	for range 10 {
 		b.Pick(epoch, list[:1], nil, 1)
-		b.Ended(epoch, "0", Abandoned, time.Second, -1)
+		b.Done(epoch, "0", Abandoned, time.Second, -1)
 	}
 	assert.Equal(t, pick(b, list), "0")
 }
@@ -83,9 +83,9 @@
 	b := New("north")
 	list := endpoints("north", "south")
 	b.Pick(epoch, list[:1], nil, 1)
-	b.Ended(epoch, "0", Served, initialLatency, 20)
+	b.Done(epoch, "0", Served, initialLatency, 20)
 	assert.Equal(t, pick(b, list), "1")
-	b.Ended(epoch, "1", Served, initialLatency, 0)
+	b.Done(epoch, "1", Served, initialLatency, 0)
 	assert.Equal(t, b.Pick(epoch.Add(2*loadReportTTL), list, nil, 1).ID, "0")
 }
 
@@ -101,7 +101,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			if len(inFlight) > 0 && rapid.Bool().Draw(t, "end") {
 				o := Outcome(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "outcome"))
-				b.Ended(now, inFlight[0], o, time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*time.Millisecond, rapid.IntRange(-1, 9).Draw(t, "load"))
+				b.Done(now, inFlight[0], o, time.Duration(rapid.IntRange(1, 300).Draw(t, "took"))*time.Millisecond, rapid.IntRange(-1, 9).Draw(t, "load"))
 				inFlight = inFlight[1:]
 				continue
 			}
@@ -124,7 +124,7 @@
 			inFlight = append(inFlight, chosen.ID)
 		}
 		for _, id := range inFlight {
-			b.Ended(now, id, Served, time.Millisecond, -1)
+			b.Done(now, id, Served, time.Millisecond, -1)
 		}
 		for id, s := range b.states {
 			assert.Equal(t, s.inFlight, 0, id)
@@ -143,13 +143,13 @@
 	only := func(e *catalog.Endpoint) *catalog.Endpoint { return b.Pick(epoch, []*catalog.Endpoint{e}, nil, 1) }
 	for range 3 {
 		only(old)
-		b.Ended(epoch, old.Key(), Silent, time.Second, -1)
+		b.Done(epoch, old.Key(), Silent, time.Second, -1)
 	}
 	only(old)
 	assert.Equal(t, pick(b, list), "1")
 	list[0] = &catalog.Endpoint{ID: "0", Incarnation: 2, Domain: "north", Slots: 1}
 	assert.Equal(t, pick(b, list), "0")
-	b.Ended(epoch, list[0].Key(), Served, initialLatency, -1)
-	b.Ended(epoch, old.Key(), Silent, time.Second, -1)
+	b.Done(epoch, list[0].Key(), Served, initialLatency, -1)
+	b.Done(epoch, old.Key(), Silent, time.Second, -1)
 	assert.Equal(t, pick(b, list), "0")
 }
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -159,7 +159,7 @@
 			load = a.Load.Running + a.Load.Waiting
 		}
 	}
-	g.balance.Ended(time.Now(), e.Key(), o, duration, load)
+	g.balance.Done(time.Now(), e.Key(), o, duration, load)
 	g.cfg.Metrics.countSend(req.serviceName, o, duration)
 	g.logSend(req, e, status, duration, err)
 }
