--- a/balance/balance.go
+++ b/balance/balance.go
@@ -79,7 +79,7 @@
 	latency   time.Duration
 	failures  health.Rate
 	pause     health.Pause
-	coldLimit warm.Pace
+	coldLimit warm.Limiter
 	// reportedLoad is the number of running and waiting requests that the
 	// endpoint reported at loadAt.
 	reportedLoad int
@@ -101,7 +101,7 @@
 	var best *catalog.Endpoint
 	var least time.Duration
 	for _, e := range endpoints {
-		if !e.TakesWork() || avoid[e.Key()] || !b.state(e.Key()).coldLimit.Allows(now, e, share, b.coldPhase) {
+		if !e.TakesWork() || avoid[e.Key()] || !b.state(e.Key()).coldLimit.Allow(now, e, share, b.coldPhase) {
 			continue
 		}
 		if cost := b.cost(now, e); best == nil || cost < least {
@@ -111,7 +111,7 @@
 	if best != nil {
 		s := b.state(best.Key())
 		s.inFlight++
-		s.coldLimit.Sent(now, best)
+		s.coldLimit.Record(now, best)
 	}
 	return best
 }
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -28,7 +28,7 @@
 		effect.Pieces = append(effect.Pieces, piece)
 	}
 	w.usedMemory += cl.bytes
-	w.pace.Sent(now, w.endpoint)
+	w.pace.Record(now, w.endpoint)
 	w.calls[cl.id] = cl
 	p.callWindow.inFlight++
 	c.calls[cl.id] = cl
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -225,7 +225,7 @@
 		}
 		return
 	}
-	e.pace.Sent(now, e.endpoint)
+	e.pace.Record(now, e.endpoint)
 	j.engine = e
 	j.granted = now
 	c.modelEngines[j.Service].assign(e, j)
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -66,7 +66,7 @@
 	// pause is active after failed requests.
 	pause health.Pause
 	// pace limits the requests to the engine while it is cold.
-	pace warm.Pace
+	pace warm.Limiter
 	// removed is true if the endpoint is no longer listed.
 	removed bool
 	// unreached is true while the owner cannot reach the engine's failure domain.
@@ -100,7 +100,7 @@
 // acceptsNow reports whether the engine may get a request now: a cold one accepts
 // only a few.
 func (e *engine) acceptsNow(now time.Time) bool {
-	return e.usable() && e.pace.Allows(now, e.endpoint, warm.OwnerShare, 0)
+	return e.usable() && e.pace.Allow(now, e.endpoint, warm.OwnerShare, 0)
 }
 
 // uncachedTokens returns the number of the prompt's tokens that the engine has not
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -58,7 +58,7 @@
 	// answered.
 	consecutiveRefusals int
 	// pace limits the calls to the endpoint while it is cold.
-	pace warm.Pace
+	pace warm.Limiter
 	// removed is true if the endpoint is not listed, or another process answers at its
 	// address.
 	removed bool
@@ -95,7 +95,7 @@
 // idle reports whether the worker can take a call at now.
 func (w *worker) idle(now time.Time) bool {
 	return w.usable() && len(w.calls) < w.spec.Slots && !w.pause.Active(now) &&
-		w.pace.Allows(now, w.endpoint, warm.OwnerShare, 0)
+		w.pace.Allow(now, w.endpoint, warm.OwnerShare, 0)
 }
 
 // usable reports whether the worker may get calls at all.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -62,7 +62,7 @@
 	// fleet tracks the number of gateways, from which this process's share of the load
 	// on cold endpoints follows; fleetMu guards it.
 	fleetMu sync.Mutex
-	fleet   warm.Fleet
+	fleet   warm.FleetSize
 	// inFlight is the number of requests that have not been answered completely.
 	inFlight atomic.Int64
 }
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -203,7 +203,7 @@
 	live := g.cfg.FleetSize()
 	g.fleetMu.Lock()
 	defer g.fleetMu.Unlock()
-	return warm.PickerShare(g.fleet.Size(time.Now(), live), queued)
+	return warm.PickerShare(g.fleet.Update(time.Now(), live), queued)
 }
 
 // tryEngine makes one send. If the balancer picked the engine, it also ends the
--- a/warm/warm.go
+++ b/warm/warm.go
@@ -41,20 +41,20 @@
 // times as long as endpoints are cold.
 const fleetSizeWindow = 30 * time.Second
 
-// Fleet tracks the largest recent size of the fleet. Otherwise a member that
+// FleetSize tracks the largest recent size of the fleet. Otherwise a member that
 // has lost sight of the others, because its link or theirs failed, would take
 // itself for the whole fleet and use the whole rate, while the others send as
 // before. The zero value has seen no member. It is not safe for concurrent use.
-type Fleet struct {
+type FleetSize struct {
 	// maxSize is the largest size since windowStart, prevMaxSize that of the
 	// window before.
 	maxSize, prevMaxSize int
 	windowStart          time.Time
 }
 
-// Size records the number of live members and returns the largest recent
+// Update records the number of live members and returns the largest recent
 // number.
-func (f *Fleet) Size(now time.Time, live int) int {
+func (f *FleetSize) Update(now time.Time, live int) int {
 	if now.Sub(f.windowStart) >= fleetSizeWindow {
 		f.prevMaxSize, f.maxSize, f.windowStart = f.maxSize, 0, now
 	}
@@ -62,9 +62,9 @@
 	return max(f.maxSize, f.prevMaxSize)
 }
 
-// Pace limits the requests of one process to one cold endpoint. The zero value
+// Limiter limits the requests of one process to one cold endpoint. The zero value
 // has sent nothing. It is not safe for concurrent use.
-type Pace struct {
+type Limiter struct {
 	// sent holds the times of the latest requests, at most as many as the rate
 	// allows in a window.
 	sent []time.Time
@@ -75,13 +75,13 @@
 	firstAllowed time.Time
 }
 
-// Allows reports whether a process with that share of the rate may send a
+// Allow reports whether a process with that share of the rate may send a
 // request to the endpoint. A share of less than one request per window makes
 // the window longer. phase, from 0 to 1 and different in each process, is then
 // the part of the window that the process waits before its first request;
 // without it, all members of a fleet would send their first request at the same
 // moment.
-func (p *Pace) Allows(now time.Time, e *catalog.Endpoint, share, phase float64) bool {
+func (p *Limiter) Allow(now time.Time, e *catalog.Endpoint, share, phase float64) bool {
 	if !e.Cold(now) || e.ColdRate <= 0 {
 		return true
 	}
@@ -97,7 +97,7 @@
 }
 
 // setFirstAllowed sets firstAllowed once per cold period.
-func (p *Pace) setFirstAllowed(now, until time.Time, wait time.Duration) {
+func (p *Limiter) setFirstAllowed(now, until time.Time, wait time.Duration) {
 	if now.After(p.coldUntil) {
 		p.firstAllowed = now.Add(wait)
 	}
@@ -113,9 +113,9 @@
 	return 1, time.Duration(float64(rateWindow) / rate)
 }
 
-// Sent counts a request to a cold endpoint; requests to a warm one are not
+// Record counts a request to a cold endpoint; requests to a warm one are not
 // counted.
-func (p *Pace) Sent(now time.Time, e *catalog.Endpoint) {
+func (p *Limiter) Record(now time.Time, e *catalog.Endpoint) {
 	if !e.Cold(now) || e.ColdRate <= 0 {
 		p.sent = nil
 		return
--- a/warm/warm_test.go
+++ b/warm/warm_test.go
@@ -43,7 +43,7 @@
 // member is one process: an owner of the queue, or one that picks endpoints
 // itself.
 type member struct {
-	limiter warm.Pace
+	limiter warm.Limiter
 	share   float64
 	phase   float64
 }
@@ -55,8 +55,8 @@
 	var sent []time.Time
 	for now := epoch; e.Cold(now); now = now.Add(step) {
 		for _, m := range members {
-			if m.limiter.Allows(now, e, m.share, m.phase) {
-				m.limiter.Sent(now, e)
+			if m.limiter.Allow(now, e, m.share, m.phase) {
+				m.limiter.Record(now, e)
 				sent = append(sent, now)
 			}
 		}
@@ -105,17 +105,17 @@
 // A warm endpoint gets all requests; one that becomes cold again is limited
 // again.
 func TestWarmEndpointIsNotPaced(t *testing.T) {
-	var limiter warm.Pace
+	var limiter warm.Limiter
 	e := &catalog.Endpoint{ID: "e", ColdRate: rate}
 	for range 1000 {
-		assert.Assert(t, limiter.Allows(epoch, e, 0.01, 1))
-		limiter.Sent(epoch, e)
+		assert.Assert(t, limiter.Allow(epoch, e, 0.01, 1))
+		limiter.Record(epoch, e)
 	}
 	e.ColdUntil = epoch.Add(coldFor)
 	for range 2 {
-		limiter.Sent(epoch, e)
-		limiter.Sent(epoch, e)
-		assert.Assert(t, !limiter.Allows(epoch.Add(time.Millisecond), e, 0.2, 0))
+		limiter.Record(epoch, e)
+		limiter.Record(epoch, e)
+		assert.Assert(t, !limiter.Allow(epoch.Add(time.Millisecond), e, 0.2, 0))
 	}
 }
 
@@ -123,15 +123,15 @@
 // while a failure domain returns cold, and it sees no other member for seconds.
 // It must keep its share, and forget the size of a fleet that has shrunk.
 func TestLostMembersAreRemembered(t *testing.T) {
-	var fleet warm.Fleet
-	assert.Equal(t, fleet.Size(epoch, 26), 26)
+	var fleet warm.FleetSize
+	assert.Equal(t, fleet.Update(epoch, 26), 26)
 	for after := time.Second; after < 30*time.Second; after += time.Second {
-		assert.Equal(t, fleet.Size(epoch.Add(after), 1), 26)
+		assert.Equal(t, fleet.Update(epoch.Add(after), 1), 26)
 	}
 	later := epoch
 	for range 70 {
 		later = later.Add(time.Second)
-		fleet.Size(later, 2)
+		fleet.Update(later, 2)
 	}
-	assert.Equal(t, fleet.Size(later, 2), 2)
+	assert.Equal(t, fleet.Update(later, 2), 2)
 }
