--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -116,7 +116,7 @@
 	p := g.loaded.Platform
 	mux := peer.NewMux()
 	toStore, toEndpoints := storeTransport(), gateway.NewTransport()
-	toEndpoints.Check = func() { g.follower.CheckPause() }
+	toEndpoints.BeforeRequest = func() { g.follower.CheckPause() }
 	store := platform.NewStore(p.Store, &http.Client{Transport: toStore}, discovery.StorePatience)
 	stages := platform.NewStages(&http.Client{Transport: toEndpoints})
 	g.scheduler = scheduler.New(p.Name, stages, g.log)
@@ -139,17 +139,17 @@
 	discovery.ServePeers(mux, g.follower)
 	scheduler.Serve(mux, g.scheduler)
 	g.gateway = gateway.New(gateway.Config{
-		Domain:      p.Domain,
-		Bounds:      p.Bounds,
-		View:        g.follower.View,
-		Current:     g.follower.Current,
-		FleetSize:   g.fleet.Size,
-		OthersStay:  g.fleet.OthersStay,
-		Scheduler:   scheduler.NewClient(g.scheduler, g.fleet, g.log),
-		Transport:   toEndpoints,
-		Log:         g.log,
-		Metrics:     g.metrics,
-		TellCrashes: func(crashes []gateway.Crash) { g.fleet.Tell(methodCrashed, crashes) },
+		Domain:           p.Domain,
+		Bounds:           p.Bounds,
+		View:             g.follower.View,
+		FreshView:        g.follower.Current,
+		FleetSize:        g.fleet.Size,
+		OthersAvailable:  g.fleet.OthersStay,
+		Scheduler:        scheduler.NewClient(g.scheduler, g.fleet, g.log),
+		Transport:        toEndpoints,
+		Log:              g.log,
+		Metrics:          g.metrics,
+		BroadcastCrashes: func(crashes []gateway.Crash) { g.fleet.Tell(methodCrashed, crashes) },
 	})
 	peer.HandleNote(mux, methodCrashed, func(_ *peer.Conn, crashes []gateway.Crash) { g.addPeerCrashes(crashes) })
 	kernel.Handle(g.bus, "scheduler", kernel.TopicView, func(kernel.ViewEvent) { g.scheduler.SetView(g.follower.View()) })
@@ -164,7 +164,7 @@
 func (g *Gateway) addPeerCrashes(crashes []gateway.Crash) {
 	var unseen []gateway.Crash
 	for _, c := range crashes {
-		if g.gateway.HeardCrash(c) {
+		if g.gateway.AddRemoteCrash(c) {
 			unseen = append(unseen, c)
 		}
 	}
@@ -276,7 +276,7 @@
 	began := time.Now()
 	g.log.Info().Str("event", logDraining).Msg("stopping")
 	end, last := stopTimes(ctx, began, g.loaded.Platform.Bounds.Grace)
-	g.gateway.Leave(end)
+	g.gateway.BeginShutdown(end)
 	g.fleet.Leave()
 	ctx, cancel := context.WithDeadline(ctx, last)
 	defer cancel()
@@ -319,7 +319,7 @@
 	defer cancel()
 	select {
 	case <-ctx.Done():
-	case <-g.gateway.Noticed():
+	case <-g.gateway.UnreadyObserved():
 		sleep.For(ctx, inTransitWait)
 	}
 }
@@ -355,7 +355,7 @@
 	m.Set("sends", g.metrics.Sends)
 	m.Set("latency_ms", expvar.Func(func() any { return g.metrics.Latency() }))
 	m.Set("queues", expvar.Func(func() any { return g.scheduler.Stats() }))
-	m.Set("endpoints", expvar.Func(func() any { return g.gateway.Endpoints() }))
+	m.Set("endpoints", expvar.Func(func() any { return g.gateway.EndpointStats() }))
 	m.Set("ownership", expvar.Func(func() any { return g.fleet.Ownership() }))
 	m.Set("fleet_size", expvar.Func(func() any { return g.fleet.Size() }))
 	m.Set("store_at", expvar.Func(func() any { return g.follower.At() }))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -34,20 +34,20 @@
 	Bounds platform.Bounds
 	// View returns the current view of the deployment.
 	View func() *catalog.View
-	// Current returns a view that includes the changes made while this process was
+	// FreshView returns a view that includes the changes made while this process was
 	// paused, and may block briefly to fetch them. It defaults to View.
-	Current func() *catalog.View
+	FreshView func() *catalog.View
 	// FleetSize returns the number of live gateways, this one included.
 	FleetSize func() int
 	Scheduler *scheduler.Client
 	Transport *Transport
 	Log       zerolog.Logger
 	Metrics   *Metrics
-	// OthersStay reports whether another gateway is live and not shutting down.
-	OthersStay func() bool
-	// TellCrashes sends the crashes that this process detected to the other gateways; nil
+	// OthersAvailable reports whether another gateway is live and not shutting down.
+	OthersAvailable func() bool
+	// BroadcastCrashes sends the crashes that this process detected to the other gateways; nil
 	// if crashes are not shared.
-	TellCrashes func([]Crash)
+	BroadcastCrashes func([]Crash)
 }
 
 // Gateway is the HTTP handler of client requests.
@@ -69,8 +69,8 @@
 
 // New returns a Gateway with the configuration.
 func New(cfg Config) *Gateway {
-	if cfg.Current == nil {
-		cfg.Current = cfg.View
+	if cfg.FreshView == nil {
+		cfg.FreshView = cfg.View
 	}
 	return &Gateway{
 		cfg:               cfg,
@@ -99,17 +99,17 @@
 		g.cfg.Log.Warn().Str("event", logCrashed).Uint64("content", c.Content).Str("endpoint", c.Endpoint).
 			Msg("endpoint crashed while running a request with this content")
 	}
-	if len(found) > 0 && g.cfg.TellCrashes != nil {
-		g.cfg.TellCrashes(found)
+	if len(found) > 0 && g.cfg.BroadcastCrashes != nil {
+		g.cfg.BroadcastCrashes(found)
 	}
 }
 
-// HeardCrash records a crash that another gateway detected and reports whether it
+// AddRemoteCrash records a crash that another gateway detected and reports whether it
 // was unknown here.
-func (g *Gateway) HeardCrash(c Crash) bool { return g.crashTracker.addRemote(time.Now(), c) }
+func (g *Gateway) AddRemoteCrash(c Crash) bool { return g.crashTracker.addRemote(time.Now(), c) }
 
-// Endpoints returns the balancer's statistics of the endpoints that it sends to.
-func (g *Gateway) Endpoints() []balance.Stats { return g.balance.Stats(time.Now()) }
+// EndpointStats returns the balancer's statistics of the endpoints that it sends to.
+func (g *Gateway) EndpointStats() []balance.Stats { return g.balance.Stats(time.Now()) }
 
 // ServeHTTP serves one request of a client.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -100,12 +100,12 @@
 			defer r.mu.Unlock()
 			return r.view
 		},
-		FleetSize:  func() int { return 1 },
-		OthersStay: func() bool { return false },
-		Scheduler:  scheduler.NewClient(r.scheduler, newSingleProcess(), log),
-		Transport:  transport,
-		Log:        log,
-		Metrics:    gateway.NewMetrics(),
+		FleetSize:       func() int { return 1 },
+		OthersAvailable: func() bool { return false },
+		Scheduler:       scheduler.NewClient(r.scheduler, newSingleProcess(), log),
+		Transport:       transport,
+		Log:             log,
+		Metrics:         gateway.NewMetrics(),
 	})
 	server := httptest.NewServer(r.gateway)
 	r.url = server.URL
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -154,7 +154,7 @@
 	r.startEndpoint("model", "m-1", nil)
 	go func() {
 		<-called
-		r.gateway.Leave(time.Now().Add(shutdownTime))
+		r.gateway.BeginShutdown(time.Now().Add(shutdownTime))
 	}()
 	began := time.Now()
 	req := r.request(http.MethodPost, "/staged/", "prompt")
--- a/gateway/plain_test.go
+++ b/gateway/plain_test.go
@@ -294,7 +294,7 @@
 		return w.Code
 	}
 	assert.Equal(t, ready(), http.StatusOK)
-	r.gateway.Leave(time.Now().Add(waitTimeout))
+	r.gateway.BeginShutdown(time.Now().Add(waitTimeout))
 	assert.Equal(t, ready(), http.StatusServiceUnavailable)
 	resp, err := http.DefaultClient.Do(r.request(http.MethodGet, "/idem/", ""))
 	assert.NilError(t, err)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -66,7 +66,7 @@
 	if req.authorize(index) != nil {
 		// A refused client does not retry, so the gateway never refuses by a configuration
 		// from before a pause of this process.
-		index = g.cfg.Current().Index
+		index = g.cfg.FreshView().Index
 		if p := req.authorize(index); p != nil {
 			return req, p
 		}
@@ -114,7 +114,7 @@
 	if req.route.Repeatable() {
 		return g.cfg.View()
 	}
-	return g.cfg.Current()
+	return g.cfg.FreshView()
 }
 
 // hostOf returns the request's host in lower case, without the port.
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -110,14 +110,14 @@
 // cancelledByShutdown reports whether the shutdown ended the context.
 func cancelledByShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
 
-// Leave begins the shutdown: the process becomes unready, asks clients to open new
+// BeginShutdown begins the shutdown: the process becomes unready, asks clients to open new
 // connections elsewhere, and admits only requests that are expected to end before
 // end, by which every request has an answer.
-func (g *Gateway) Leave(end time.Time) { g.shutdown.begin(time.Now(), end) }
+func (g *Gateway) BeginShutdown(end time.Time) { g.shutdown.begin(time.Now(), end) }
 
-// Noticed returns a channel that is closed when enough readiness probes have been
+// UnreadyObserved returns a channel that is closed when enough readiness probes have been
 // answered with not ready for the load balancer to send new connections elsewhere.
-func (g *Gateway) Noticed() <-chan struct{} { return g.shutdown.unreadyObserved }
+func (g *Gateway) UnreadyObserved() <-chan struct{} { return g.shutdown.unreadyObserved }
 
 // OutOfRotation records that the load balancer no longer chooses this process. A
 // request that still arrives uses a kept connection or finds no gateway that stays,
@@ -198,7 +198,7 @@
 // shutdownRetryAfter returns the Retry-After of a request that the shutdown refuses;
 // left is the time until the shutdown ends.
 func (g *Gateway) shutdownRetryAfter(left time.Duration) time.Duration {
-	if g.cfg.OthersStay() {
+	if g.cfg.OthersAvailable() {
 		return otherGatewayRetryAfter
 	}
 	return max(0, left) + restartTime
--- a/gateway/stop_test.go
+++ b/gateway/stop_test.go
@@ -35,7 +35,7 @@
 	r.add("plain", "i-1", serve(t, hangUntilCallerLeaves(called)))
 	go func() {
 		<-called
-		r.gateway.Leave(time.Now().Add(100 * time.Millisecond))
+		r.gateway.BeginShutdown(time.Now().Add(100 * time.Millisecond))
 	}()
 	began := time.Now()
 	got := r.do(r.request(http.MethodPost, "/once/", "order"))
@@ -61,7 +61,7 @@
 	})
 	go func() {
 		<-sent
-		r.gateway.Leave(time.Now().Add(100 * time.Millisecond))
+		r.gateway.BeginShutdown(time.Now().Add(100 * time.Millisecond))
 	}()
 	got := r.do(r.request(http.MethodPost, "/stream/", "prompt"))
 	assert.Assert(t, got.err != nil, "a stream that ends early must not look complete")
@@ -82,7 +82,7 @@
 	ask := func() clientResult { return r.do(r.request(http.MethodPost, "/stream/", "prompt")) }
 	assert.Equal(t, ask().body, streamBody(2))
 	end := time.Now().Add(shutdownTime)
-	r.gateway.Leave(end)
+	r.gateway.BeginShutdown(end)
 	admitted := 0
 	got := ask()
 	for ; got.status == http.StatusOK; got = ask() {
@@ -117,7 +117,7 @@
 	go func() {
 		_, _ = rest.Write([]byte("o"))
 		testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 1 })
-		r.gateway.Leave(time.Now().Add(grace))
+		r.gateway.BeginShutdown(time.Now().Add(grace))
 		<-time.After(grace / 2)
 		_, _ = rest.Write([]byte("r"))
 		_ = rest.Close()
@@ -146,7 +146,7 @@
 	r.startEndpoint("plain", "i-1", answer)
 	assert.Equal(t, r.do(r.request(http.MethodGet, "/idem/", "")).status, http.StatusOK)
 	r.startEndpoint("plain", "i-2", answer)
-	r.gateway.Leave(time.Now().Add(grace))
+	r.gateway.BeginShutdown(time.Now().Add(grace))
 	got := r.do(r.request(http.MethodGet, "/idem/", ""))
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusInternalServerError)
@@ -168,7 +168,7 @@
 		assert.NilError(t, err)
 		if stop {
 			testwait.For(t, waitTimeout, func() bool { return r.gateway.InFlight() == 1 })
-			r.gateway.Leave(time.Now().Add(100 * time.Millisecond))
+			r.gateway.BeginShutdown(time.Now().Add(100 * time.Millisecond))
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		assert.NilError(t, err, "stop %v", stop)
@@ -205,7 +205,7 @@
 	}
 	failing.Store(false)
 	ran := len(engine.Runs())
-	r.gateway.Leave(time.Now().Add(grace))
+	r.gateway.BeginShutdown(time.Now().Add(grace))
 	got := ask()
 	assert.NilError(t, got.err)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
--- a/gateway/transport.go
+++ b/gateway/transport.go
@@ -38,13 +38,13 @@
 // connections to the process that has ended.
 type Transport struct {
 	*http.Transport
-	// Check, if set, is called before each request. It returns once a pause of this
+	// BeforeRequest, if set, is called before each request. It returns once a pause of this
 	// process, if there was one, has been handled, which closes the idle connections.
 	//
 	// It guards against kept connections that died while the process was paused: a
 	// request that must not be retried and is sent over such a connection may or may
 	// not have run, and its client waits without an answer until its deadline.
-	Check func()
+	BeforeRequest func()
 
 	mu    sync.Mutex
 	conns map[*endpointConn]struct{}
@@ -135,8 +135,8 @@
 
 // RoundTrip implements http.RoundTripper.
 func (t *Transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if t.Check != nil {
-		t.Check()
+	if t.BeforeRequest != nil {
+		t.BeforeRequest()
 	}
 	return t.Transport.RoundTrip(r)
 }
