--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -117,7 +117,7 @@
 	mux := peer.NewMux()
 	toStore, toEndpoints := storeTransport(), gateway.NewTransport()
 	toEndpoints.BeforeRequest = func() { g.follower.CheckPause() }
-	store := platform.NewStore(p.Store, &http.Client{Transport: toStore}, discovery.StorePatience)
+	store := platform.NewStore(p.Store, &http.Client{Transport: toStore}, discovery.StoreTimeouts)
 	stages := platform.NewStages(&http.Client{Transport: toEndpoints})
 	g.scheduler = scheduler.New(p.Name, stages, g.log)
 	g.fleet = fleet.New(fleet.Config{
@@ -142,7 +142,7 @@
 		Domain:           p.Domain,
 		Bounds:           p.Bounds,
 		View:             g.follower.View,
-		FreshView:        g.follower.Current,
+		FreshView:        g.follower.FreshView,
 		FleetSize:        g.fleet.Size,
 		OthersAvailable:  g.fleet.OthersStay,
 		Scheduler:        scheduler.NewClient(g.scheduler, g.fleet, g.log),
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -39,11 +39,11 @@
 	catchUpTimeout = peerCallTimeout + 200*time.Millisecond
 )
 
-// StorePatience holds the timeouts of calls to the store. Answers begin within
+// StoreTimeouts holds the timeouts of calls to the store. Answers begin within
 // milliseconds, those of a slow store within some hundred. A link that loses packets is
 // silent for two retransmissions, 600 ms. Over 10 Mbit/s the longest answer takes 3.4 s,
 // and two to three times that beside other traffic.
-var StorePatience = platform.Patience{
+var StoreTimeouts = platform.Patience{
 	Read:    2 * time.Second,
 	Watch:   900 * time.Millisecond,
 	Silence: 900 * time.Millisecond,
@@ -114,14 +114,14 @@
 // View returns the current view.
 func (f *Follower) View() *catalog.View { return f.view.Load() }
 
-// Current returns a view that includes the changes made during a pause of the process.
+// FreshView returns a view that includes the changes made during a pause of the process.
 //
 // It guards against final decisions by the view from before the pause: a client of a route
 // added meanwhile would learn that there is no such route and not retry, and requests that
 // may run only once would be sent to leaving endpoints. After a pause it waits for the read
 // of the changes from a peer or the store, for at most catchUpTimeout, after which it
 // returns the old view. Use it only for decisions that cannot be corrected later.
-func (f *Follower) Current() *catalog.View {
+func (f *Follower) FreshView() *catalog.View {
 	f.pauses.Check()
 	if caughtUp := f.catchUpDone.Load(); caughtUp != nil {
 		<-*caughtUp
--- a/discovery/follower_test.go
+++ b/discovery/follower_test.go
@@ -42,7 +42,7 @@
 	t.Cleanup(server.Close)
 	views := make(chan *catalog.View, 100)
 	f := discovery.NewFollower(
-		platform.NewStore(strings.TrimPrefix(server.URL, "http://"), http.DefaultClient, discovery.StorePatience),
+		platform.NewStore(strings.TrimPrefix(server.URL, "http://"), http.DefaultClient, discovery.StoreTimeouts),
 		relay, applyBound, log, func(v *catalog.View) { views <- v },
 	)
 	run(t, f)
--- a/discovery/large_test.go
+++ b/discovery/large_test.go
@@ -64,7 +64,7 @@
 func weakMember(t *testing.T, link *throttledLink, store string, relay discovery.Relay) *discovery.Follower {
 	t.Helper()
 	f := discovery.NewFollower(
-		platform.NewStore(link.proxy(t, store), &http.Client{Transport: &http.Transport{}}, discovery.StorePatience),
+		platform.NewStore(link.proxy(t, store), &http.Client{Transport: &http.Transport{}}, discovery.StoreTimeouts),
 		relay, largeBound, zerolog.Nop(), func(*catalog.View) {},
 	)
 	run(t, f)
