--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -121,12 +121,12 @@
 	stages := platform.NewStages(&http.Client{Transport: toEndpoints})
 	g.scheduler = scheduler.New(p.Name, stages, g.log)
 	g.fleet = fleet.New(fleet.Config{
-		Self:    fleet.Member{Name: p.Name, Addr: cmp.Or(g.options.Advertise, p.Peer), Domain: p.Domain, Cores: p.Cores},
-		Listen:  p.Peer,
-		Seeds:   p.Seeds,
-		Mux:     mux,
-		Log:     g.log,
-		StoreAt: func() uint64 { return g.follower.At() },
+		Self:          fleet.Member{Name: p.Name, Addr: cmp.Or(g.options.Advertise, p.Peer), Domain: p.Domain, Cores: p.Cores},
+		Listen:        p.Peer,
+		Seeds:         p.Seeds,
+		Mux:           mux,
+		Log:           g.log,
+		StoreRevision: func() uint64 { return g.follower.At() },
 
 		StoreSteady: func() bool { return g.follower.Steady() },
 		OnPromoted:  g.scheduler.BecomeOwner,
@@ -144,12 +144,12 @@
 		View:             g.follower.View,
 		FreshView:        g.follower.FreshView,
 		FleetSize:        g.fleet.Size,
-		OthersAvailable:  g.fleet.OthersStay,
+		OthersAvailable:  g.fleet.OthersAvailable,
 		Scheduler:        scheduler.NewClient(g.scheduler, g.fleet, g.log),
 		Transport:        toEndpoints,
 		Log:              g.log,
 		Metrics:          g.metrics,
-		BroadcastCrashes: func(crashes []gateway.Crash) { g.fleet.Tell(methodCrashed, crashes) },
+		BroadcastCrashes: func(crashes []gateway.Crash) { g.fleet.Broadcast(methodCrashed, crashes) },
 	})
 	peer.HandleNote(mux, methodCrashed, func(_ *peer.Conn, crashes []gateway.Crash) { g.addPeerCrashes(crashes) })
 	kernel.Handle(g.bus, "scheduler", kernel.TopicView, func(kernel.ViewEvent) { g.scheduler.SetView(g.follower.View()) })
@@ -169,7 +169,7 @@
 		}
 	}
 	if len(unseen) > 0 && !g.fleet.Mesh() {
-		g.fleet.Tell(methodCrashed, unseen)
+		g.fleet.Broadcast(methodCrashed, unseen)
 	}
 }
 
--- a/fleet/core.go
+++ b/fleet/core.go
@@ -282,11 +282,11 @@
 // all are, as when a whole fleet is stopped member by member, one of the leaving members
 // owns the queue: otherwise each would own it for itself.
 func (c *Core) anyMemberStays(now time.Time) bool {
-	return !c.leaving || c.OthersStay(now)
+	return !c.leaving || c.OthersAvailable(now)
 }
 
-// OthersStay reports whether another live member is not leaving.
-func (c *Core) OthersStay(now time.Time) bool {
+// OthersAvailable reports whether another live member is not leaving.
+func (c *Core) OthersAvailable(now time.Time) bool {
 	for _, p := range c.peers {
 		if p.live(now) && !p.leaving {
 			return true
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -42,11 +42,11 @@
 	return nil
 }
 
-// OthersStay reports whether another live member is not leaving.
-func (s *Service) OthersStay() bool {
+// OthersAvailable reports whether another live member is not leaving.
+func (s *Service) OthersAvailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.core.OthersStay(time.Now())
+	return s.core.OthersAvailable(time.Now())
 }
 
 // OthersStoreSteady reports whether the store has answered another live member without
--- a/fleet/service.go
+++ b/fleet/service.go
@@ -51,8 +51,8 @@
 	Seeds []string
 	Mux   *peer.Mux
 	Log   zerolog.Logger
-	// StoreAt returns the store revision up to which this process is complete.
-	StoreAt func() uint64
+	// StoreRevision returns the store revision up to which this process is complete.
+	StoreRevision func() uint64
 	// StoreSteady reports whether the store has answered this process without
 	// interruption for some seconds; nil counts as false.
 	StoreSteady func() bool
@@ -185,7 +185,7 @@
 // needed.
 func (s *Service) sendHeartbeats(round int) {
 	now := time.Now()
-	storeRevision := s.cfg.StoreAt()
+	storeRevision := s.cfg.StoreRevision()
 	steady := s.cfg.StoreSteady != nil && s.cfg.StoreSteady()
 	s.mu.Lock()
 	s.core.SetStoreSteady(steady)
@@ -305,7 +305,7 @@
 	defer cancel()
 	conn, err := s.node.Dial(ctx, addr)
 	now := time.Now()
-	storeRevision := s.cfg.StoreAt()
+	storeRevision := s.cfg.StoreRevision()
 	s.mu.Lock()
 	l := s.linkLocked(addr)
 	l.dialing = false
@@ -324,7 +324,7 @@
 // connected, and answers at once where a round's delay would matter.
 func (s *Service) handleHeartbeat(conn *peer.Conn, h Heartbeat) {
 	now := time.Now()
-	storeRevision := s.cfg.StoreAt()
+	storeRevision := s.cfg.StoreRevision()
 	s.mu.Lock()
 	claimChanged := s.core.HandleHeartbeat(now, h)
 	if s.core.Confirmed() {
@@ -404,9 +404,9 @@
 	return owner, self
 }
 
-// Tell sends a notification to all connected members, each in its own goroutine, so that
+// Broadcast sends a notification to all connected members, each in its own goroutine, so that
 // a peer that does not read cannot delay the others.
-func (s *Service) Tell(method string, params any) {
+func (s *Service) Broadcast(method string, params any) {
 	s.mu.Lock()
 	var conns []*peer.Conn
 	for _, l := range s.links {
