--- a/entry/policies.go
+++ b/entry/policies.go
@@ -26,7 +26,7 @@
 }
 
 // Begin implements pipeline.Suspects.
-func (p *policies) Begin(fingerprint string, now time.Time) suspect.Verdict {
+func (p *policies) Begin(fingerprint string, now time.Time) suspect.Decision {
 	return p.current.Load().suspects.Begin(fingerprint, now)
 }
 
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -264,7 +264,7 @@
 	var longest time.Duration
 	for i := range s.pipeline.Stages {
 		key := suspect.Key(s.admit.Identity.BodyHash, s.pipeline.Stages[i].Name)
-		longest = max(longest, g.suspects.Refused(key, now))
+		longest = max(longest, g.suspects.RefusedFor(key, now))
 	}
 	return longest
 }
--- a/pipeline/core_test.go
+++ b/pipeline/core_test.go
@@ -345,8 +345,8 @@
 }
 
 func (c *refuseAfterCrash) Crashed(string, suspect.Crash, time.Time) { c.crashes++ }
-func (c *refuseAfterCrash) Begin(string, time.Time) suspect.Verdict {
-	return suspect.Verdict{Refuse: c.crashes > 0, RetryAfter: time.Minute}
+func (c *refuseAfterCrash) Begin(string, time.Time) suspect.Decision {
+	return suspect.Decision{Refuse: c.crashes > 0, RetryAfter: time.Minute}
 }
 
 // Guards against a retry that crashes the next endpoint: when a request crashes
--- a/pipeline/model_test.go
+++ b/pipeline/model_test.go
@@ -99,7 +99,7 @@
 // not ended.
 type runCounter struct{ n int }
 
-func (c *runCounter) Begin(string, time.Time) suspect.Verdict  { c.n++; return suspect.Verdict{} }
+func (c *runCounter) Begin(string, time.Time) suspect.Decision { c.n++; return suspect.Decision{} }
 func (c *runCounter) Crashed(string, suspect.Crash, time.Time) { c.n-- }
 func (c *runCounter) Succeeded(string, time.Time)              { c.n-- }
 func (c *runCounter) Ended(string, time.Time)                  { c.n-- }
--- a/pipeline/ports.go
+++ b/pipeline/ports.go
@@ -35,7 +35,7 @@
 // it. Each Begin that does not refuse is followed by exactly one call of
 // another method.
 type Suspects interface {
-	Begin(fingerprint string, now time.Time) suspect.Verdict
+	Begin(fingerprint string, now time.Time) suspect.Decision
 	Crashed(fingerprint string, c suspect.Crash, now time.Time)
 	Succeeded(fingerprint string, now time.Time)
 	Ended(fingerprint string, now time.Time)
@@ -95,7 +95,7 @@
 
 type noSuspects struct{}
 
-func (noSuspects) Begin(string, time.Time) suspect.Verdict  { return suspect.Verdict{} }
+func (noSuspects) Begin(string, time.Time) suspect.Decision { return suspect.Decision{} }
 func (noSuspects) Crashed(string, suspect.Crash, time.Time) {}
 func (noSuspects) Succeeded(string, time.Time)              {}
 func (noSuspects) Ended(string, time.Time)                  {}
--- a/suspect/content.go
+++ b/suspect/content.go
@@ -48,18 +48,18 @@
 // Concurrent runs of suspect content are limited, because each of them may crash an
 // endpoint before the crashes of the others are known: a client that sends the same
 // request fifty times at once would otherwise crash fifty endpoints.
-func (c *contentState) decide(limit int, now time.Time) Verdict {
+func (c *contentState) decide(limit int, now time.Time) Decision {
 	if now.Before(c.quarantinedUntil) {
-		return Verdict{Refuse: true, RetryAfter: c.quarantinedUntil.Sub(now)}
+		return Decision{Refuse: true, RetryAfter: c.quarantinedUntil.Sub(now)}
 	}
 	crashes := c.totalCrashes()
 	if crashes == 0 {
-		return Verdict{}
+		return Decision{}
 	}
 	if c.running > 0 && c.running+crashes >= limit {
-		return Verdict{Refuse: true, RetryAfter: copiesRetryAfter}
+		return Decision{Refuse: true, RetryAfter: copiesRetryAfter}
 	}
-	return Verdict{Alone: true}
+	return Decision{Alone: true}
 }
 
 // totalCrashes returns the number of crashes in the current epoch.
--- a/suspect/outage_test.go
+++ b/suspect/outage_test.go
@@ -16,11 +16,11 @@
 	crashOn(table, "other", "engine-3", start, "third")
 	crashOn(table, "a", "engine-1", start, "b")
 	now := start.Add(15 * time.Millisecond)
-	assert.Equal(t, crashOn(table, "a", "engine-2", now), Verdict{Alone: true})
-	assert.Equal(t, table.Refused("a", now), time.Duration(0))
-	assert.Equal(t, table.Begin("a", now), Verdict{Alone: true})
+	assert.Equal(t, crashOn(table, "a", "engine-2", now), Decision{Alone: true})
+	assert.Equal(t, table.RefusedFor("a", now), time.Duration(0))
+	assert.Equal(t, table.Begin("a", now), Decision{Alone: true})
 	table.Succeeded("a", now)
-	assert.Equal(t, table.Begin("a", now), Verdict{})
+	assert.Equal(t, table.Begin("a", now), Decision{})
 }
 
 // TestSuccessiveCrashesQuarantine guards against content that is not stopped because
@@ -39,7 +39,7 @@
 			crash(table)
 			crashOn(table, "bad", "engine-1", start, "a")
 			crashOn(table, "bad", "engine-2", start.Add(time.Millisecond))
-			assert.Assert(t, table.Refused("bad", start.Add(time.Millisecond)) > 0)
+			assert.Assert(t, table.RefusedFor("bad", start.Add(time.Millisecond)) > 0)
 		})
 	}
 }
@@ -59,6 +59,6 @@
 		}
 	}
 	assert.Assert(t, crashes <= 2*2*limit, "%d crashes", crashes)
-	assert.Assert(t, table.Refused("bad-1", start.Add(50*time.Second)) > 0)
-	assert.Assert(t, table.Refused("bad-2", start.Add(50*time.Second)) > 0)
+	assert.Assert(t, table.RefusedFor("bad-1", start.Add(50*time.Second)) > 0)
+	assert.Assert(t, table.RefusedFor("bad-2", start.Add(50*time.Second)) > 0)
 }
--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -67,8 +67,8 @@
 	maxCountsSent = 512
 )
 
-// Verdict says whether and how content may be run.
-type Verdict struct {
+// Decision says whether and how content may be run.
+type Decision struct {
 	// Refuse is true if the content must not be run.
 	Refuse bool
 	// RetryAfter is the time after which a refused request may be tried again.
@@ -145,7 +145,7 @@
 
 // Begin asks whether content may be run. Each run that is not refused must end with
 // one of Crashed, Succeeded and Ended.
-func (t *Table) Begin(key string, now time.Time) Verdict {
+func (t *Table) Begin(key string, now time.Time) Decision {
 	s := t.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,9 +158,9 @@
 	return v
 }
 
-// Refused returns how long content is still refused, or 0 if it is not, without
+// RefusedFor returns how long content is still refused, or 0 if it is not, without
 // beginning a run.
-func (t *Table) Refused(key string, now time.Time) time.Duration {
+func (t *Table) RefusedFor(key string, now time.Time) time.Duration {
 	s := t.shard(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -14,7 +14,7 @@
 const limit = 3
 
 // crashOn runs content that crashes an endpoint, unless the table refuses it.
-func crashOn(t *Table, key, endpoint string, now time.Time, with ...string) Verdict {
+func crashOn(t *Table, key, endpoint string, now time.Time, with ...string) Decision {
 	v := t.Begin(key, now)
 	if !v.Refuse {
 		t.Crashed(key, Crash{Endpoint: endpoint, Companions: len(with), CompanionKeys: with}, now)
@@ -30,24 +30,24 @@
 	table := New("entry-1/a", limit)
 	batch := []string{"bad", "b", "c", "d", "e", "f", "g", "h"}
 	for _, key := range batch {
-		assert.Equal(t, table.Begin(key, start), Verdict{})
+		assert.Equal(t, table.Begin(key, start), Decision{})
 	}
 	for _, key := range batch {
 		table.Crashed(key, Crash{Endpoint: "engine-1", Companions: 7}, start)
 	}
 	now := start.Add(time.Second)
 	for _, key := range batch[1:] {
-		assert.Equal(t, table.Begin(key, now), Verdict{Alone: true})
+		assert.Equal(t, table.Begin(key, now), Decision{Alone: true})
 		table.Succeeded(key, now)
-		assert.Equal(t, table.Begin(key, now), Verdict{})
+		assert.Equal(t, table.Begin(key, now), Decision{})
 		table.Ended(key, now)
 	}
-	assert.Equal(t, crashOn(table, "bad", "engine-2", now), Verdict{Alone: true})
-	assert.Equal(t, table.Begin("bad", now), Verdict{Refuse: true, RetryAfter: quarantineDuration})
+	assert.Equal(t, crashOn(table, "bad", "engine-2", now), Decision{Alone: true})
+	assert.Equal(t, table.Begin("bad", now), Decision{Refuse: true, RetryAfter: quarantineDuration})
 	other := New("entry-2/a", limit)
 	other.Merge(table.Counts(now.Add(time.Minute)), now.Add(time.Minute))
-	assert.Equal(t, other.Refused("bad", now.Add(time.Minute)), quarantineDuration-time.Minute)
-	assert.Equal(t, other.Refused("b", now), time.Duration(0))
+	assert.Equal(t, other.RefusedFor("bad", now.Add(time.Minute)), quarantineDuration-time.Minute)
+	assert.Equal(t, other.RefusedFor("b", now), time.Duration(0))
 }
 
 // A machine fails while its only request is one that is not the cause. The request is
@@ -55,9 +55,9 @@
 func TestFirstCrashAloneDoesNotQuarantine(t *testing.T) {
 	table := New("entry-1/a", limit)
 	crashOn(table, "a", "engine-1", start)
-	assert.Equal(t, table.Begin("a", start), Verdict{Alone: true})
+	assert.Equal(t, table.Begin("a", start), Decision{Alone: true})
 	table.Succeeded("a", start)
-	assert.Equal(t, table.Begin("a", start), Verdict{})
+	assert.Equal(t, table.Begin("a", start), Decision{})
 }
 
 func TestQuarantine(t *testing.T) {
@@ -104,7 +104,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := New("entry-1/a", limit)
 			test.crashes(table)
-			assert.Equal(t, table.Refused("bad", start) > 0, test.want)
+			assert.Equal(t, table.RefusedFor("bad", start) > 0, test.want)
 		})
 	}
 }
@@ -121,8 +121,8 @@
 	for _, table := range tables {
 		tables[0].Merge(table.Counts(start), start)
 	}
-	assert.Equal(t, tables[0].Refused("popular", start), time.Duration(0))
-	assert.Equal(t, tables[0].Begin("popular", start), Verdict{Alone: true})
+	assert.Equal(t, tables[0].RefusedFor("popular", start), time.Duration(0))
+	assert.Equal(t, tables[0].Begin("popular", start), Decision{Alone: true})
 }
 
 // Content crashes engines at one entry until that entry quarantines it, while at
@@ -138,8 +138,8 @@
 	cleared, quarantined := b.Counts(start), a.Counts(start)
 	a.Merge(cleared, start)
 	b.Merge(quarantined, start)
-	assert.Equal(t, a.Refused("bad", start), quarantineDuration)
-	assert.Equal(t, b.Refused("bad", start), quarantineDuration)
+	assert.Equal(t, a.RefusedFor("bad", start), quarantineDuration)
+	assert.Equal(t, b.RefusedFor("bad", start), quarantineDuration)
 }
 
 func TestExpiry(t *testing.T) {
@@ -148,13 +148,13 @@
 	crashOn(table, "bad", "e1", start)
 	crashOn(table, "bad", "e2", start)
 	now := start.Add(quarantineDuration)
-	assert.Equal(t, table.Refused("bad", now), time.Duration(0))
+	assert.Equal(t, table.RefusedFor("bad", now), time.Duration(0))
 	// Quarantined content stays suspect, and one more crash quarantines it again.
-	assert.Equal(t, crashOn(table, "bad", "e3", now), Verdict{Alone: true})
-	assert.Equal(t, table.Refused("bad", now), quarantineDuration)
-	assert.Equal(t, table.Begin("shared", now.Add(time.Second)), Verdict{})
+	assert.Equal(t, crashOn(table, "bad", "e3", now), Decision{Alone: true})
+	assert.Equal(t, table.RefusedFor("bad", now), quarantineDuration)
+	assert.Equal(t, table.Begin("shared", now.Add(time.Second)), Decision{})
 	table.Ended("shared", now)
-	assert.Equal(t, table.Begin("bad", now.Add(suspectAfterQuarantine+time.Second)), Verdict{})
+	assert.Equal(t, table.Begin("bad", now.Add(suspectAfterQuarantine+time.Second)), Decision{})
 	table.Ended("bad", now)
 	for i := range table.shards {
 		assert.Equal(t, len(table.shards[i].contents), 0)
@@ -187,7 +187,7 @@
 		assert.Assert(t, len(s.contents) <= maxSuspectsPerShard && len(s.contents) == s.suspects)
 	}
 	assert.Equal(t, len(table.Counts(start)), maxCountsSent)
-	assert.Assert(t, table.Refused("bad", start) > 0)
+	assert.Assert(t, table.RefusedFor("bad", start) > 0)
 }
 
 // TestMergeAnyOrder delivers counts late, repeated and in any order: all tables that
@@ -214,7 +214,7 @@
 		for _, i := range rapid.Permutation(indexes(len(sent))).Draw(t, "order") {
 			got.Merge(sent[i], start)
 		}
-		assert.Equal(t, got.Refused("x", start), source.Refused("x", start))
+		assert.Equal(t, got.RefusedFor("x", start), source.RefusedFor("x", start))
 		want := source.Begin("x", start)
 		assert.Equal(t, got.Begin("x", start), want)
 	})
