--- a/entry/entry.go
+++ b/entry/entry.go
@@ -289,12 +289,12 @@
 
 // unavailability returns why a member's endpoint takes no work, or "" if it
 // does. A call to an endpoint whose agent is not connected could not be written.
-func unavailability(m *member.Member) route.Away {
+func unavailability(m *member.Member) route.Unavailability {
 	switch {
 	case m.State == member.StateLeaving:
-		return route.AwayLeaving
+		return route.UnavailableLeaving
 	case m.State != member.StateLive, !m.Connected:
-		return route.AwayUnreachable
+		return route.UnavailableNoConnection
 	default:
 		return ""
 	}
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -22,7 +22,7 @@
 	Pool     string
 	Domain   string
 	// Away is why the endpoint takes no work; empty if it does.
-	Away route.Away
+	Away route.Unavailability
 }
 
 // fleet builds routing snapshots from membership, agent reports and endpoint health.
@@ -172,7 +172,7 @@
 func (f *fleet) resetFailures() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.health.Pardon()
+	f.health.ResetFailures()
 }
 
 // snapshot returns a snapshot that includes every change of membership and
@@ -265,13 +265,13 @@
 	unready := r.Seq > 0 && r.Capacity == 0
 	switch {
 	case p.Away != "":
-		e.Away = p.Away
+		e.Unavailability = p.Away
 	case r.Draining:
-		e.Away = route.AwayDraining
+		e.Unavailability = route.UnavailableDraining
 	case unready:
-		e.Away = route.AwayUnready
+		e.Unavailability = route.UnavailableNoBundle
 	}
-	if e.Away != "" {
+	if e.Unavailability != "" {
 		e.State = route.StateLeaving
 	}
 	return e
--- a/pipeline/core_test.go
+++ b/pipeline/core_test.go
@@ -45,7 +45,7 @@
 
 func (d *driver) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
 	for _, name := range []string{"e1", "e2", "e3"} {
-		if !tried(req, name) && (req.Only == "" || req.Only == name) {
+		if !tried(req, name) && (req.BoundTo == "" || req.BoundTo == name) {
 			e := &route.Endpoint{Name: name}
 			e.Report.Process.Incarnation = "first"
 			return route.Decision{Endpoint: e}
--- a/pipeline/model_test.go
+++ b/pipeline/model_test.go
@@ -236,14 +236,14 @@
 	var names []string
 	for i := range 3 {
 		name := fmt.Sprint(req.Pool, i)
-		if !sim.isExcluded(req, name) && (req.Only == "" || req.Only == name) {
+		if !sim.isExcluded(req, name) && (req.BoundTo == "" || req.BoundTo == name) {
 			names = append(names, name)
 		}
 	}
-	silent := !req.HeardSince.IsZero() && sim.chance("silent", 50)
+	silent := !req.ReportedAfter.IsZero() && sim.chance("silent", 50)
 	if len(names) == 0 || silent || sim.chance("none available", 5) {
 		sim.schedule(sim.randomDelay("away", 200), func() { sim.endpointsBack(req.Pool) })
-		return route.Decision{MayReturn: sim.chance("may return", 80)}
+		return route.Decision{MayBecomeUsable: sim.chance("may return", 80)}
 	}
 	a := sim.agents[rapid.SampledFrom(names).Draw(sim.T, "pick")]
 	e := &route.Endpoint{Name: a.name}
--- a/pipeline/stage.go
+++ b/pipeline/stage.go
@@ -80,7 +80,7 @@
 func (t *transition) waitOrGiveUp(d route.Decision, noEndpoint cause) {
 	waited := t.r.waiter != nil
 	log := t.logEntry(d)
-	log.Waits = d.MayReturn && t.wait(noEndpoint)
+	log.Waits = d.MayBecomeUsable && t.wait(noEndpoint)
 	if !waited || !log.Waits {
 		t.emit(log)
 	}
@@ -94,19 +94,19 @@
 	r := t.r
 	stage := r.stageAt(r.stage)
 	req := &route.Request{
-		ID:           r.RequestID,
-		Stage:        stage.Name,
-		Pool:         stage.Pool,
-		Account:      r.Account.Name,
-		Model:        stage.Model,
-		Priority:     r.Account.Priority,
-		AffinityHash: r.AffinityHash,
-		Remaining:    r.Deadline.Sub(t.now),
-		Tried:        r.tried(r.stage),
-		HeardSince:   r.reportedSince,
+		ID:            r.RequestID,
+		Stage:         stage.Name,
+		Pool:          stage.Pool,
+		Account:       r.Account.Name,
+		Model:         stage.Model,
+		Priority:      r.Account.Priority,
+		AffinityHash:  r.AffinityHash,
+		Remaining:     r.Deadline.Sub(t.now),
+		Tried:         r.tried(r.stage),
+		ReportedAfter: r.reportedSince,
 	}
 	if b := r.binding(r.stage); b != nil {
-		req.Only = b.Agent
+		req.BoundTo = b.Agent
 	}
 	return t.core.cfg.Picker.Pick(t.now, &r.Bundle.Policy, req)
 }
--- a/pipeline/wait_test.go
+++ b/pipeline/wait_test.go
@@ -27,18 +27,18 @@
 
 func (p *poolPicker) Pick(_ time.Time, _ *bundle.Policy, req *route.Request) route.Decision {
 	p.picks++
-	if p.unavailable || req.ID == p.unservable || !req.HeardSince.IsZero() && !p.reportedAt.After(req.HeardSince) {
-		return route.Decision{Reason: route.ReasonNone, MayReturn: true}
+	if p.unavailable || req.ID == p.unservable || !req.ReportedAfter.IsZero() && !p.reportedAt.After(req.ReportedAfter) {
+		return route.Decision{Reason: route.ReasonNone, MayBecomeUsable: true}
 	}
 	mayReturn := false
 	for _, name := range []string{"e1", "e2", "e3"} {
 		at := lostAt(req, name)
-		if (!tried(req, name) || p.reportedAt.After(at)) && (req.Only == "" || req.Only == name) {
+		if (!tried(req, name) || p.reportedAt.After(at)) && (req.BoundTo == "" || req.BoundTo == name) {
 			return route.Decision{Endpoint: &route.Endpoint{Name: name}}
 		}
 		mayReturn = mayReturn || at.Before(epoch.Add(time.Hour))
 	}
-	return route.Decision{Reason: route.ReasonAllTried, MayReturn: mayReturn}
+	return route.Decision{Reason: route.ReasonAllTried, MayBecomeUsable: mayReturn}
 }
 
 // lostAt returns when the endpoint was last lost: zero if never, and an hour
--- a/route/filter.go
+++ b/route/filter.go
@@ -49,7 +49,7 @@
 
 // Keep implements Filter.
 func (freshFilter) Keep(q *Query, e *Endpoint) bool {
-	return q.Request.HeardSince.IsZero() || e.ReportedAt.After(q.Request.HeardSince)
+	return q.Request.ReportedAfter.IsZero() || e.ReportedAt.After(q.Request.ReportedAfter)
 }
 
 // modelFilter drops endpoints that report models, but not the one needed. An
--- a/route/health.go
+++ b/route/health.go
@@ -162,10 +162,10 @@
 	return StateLive
 }
 
-// Pardon clears the failures and overdue calls that have not led to an
+// ResetFailures clears the failures and overdue calls that have not led to an
 // ejection. It is called after this process was paused: calls to healthy
 // endpoints have then timed out because of the pause.
-func (h *Health) Pardon() {
+func (h *Health) ResetFailures() {
 	for _, p := range h.all() {
 		p.mu.Lock()
 		for _, m := range p.members {
--- a/route/health_test.go
+++ b/route/health_test.go
@@ -149,7 +149,7 @@
 func TestHealthPardonAfterPause(t *testing.T) {
 	h, names := testHealth(4)
 	h.Observe("llm", names[0], CallLost, 0, start)
-	h.Pardon()
+	h.ResetFailures()
 	assert.Equal(t, len(h.Observe("llm", names[0], CallLost, 0, start)), 0)
 }
 
--- a/route/route.go
+++ b/route/route.go
@@ -49,9 +49,9 @@
 	Pool string
 	// Domain is the endpoint's failure domain.
 	Domain string
-	// Away is why an endpoint in StateLeaving takes no work; empty if not
+	// Unavailability is why an endpoint in StateLeaving takes no work; empty if not
 	// known.
-	Away Away
+	Unavailability Unavailability
 	// Report is the latest report from the endpoint's agent; zero before the
 	// first.
 	Report wire.AgentReport
@@ -125,12 +125,12 @@
 	Remaining time.Duration
 	// Tried lists the endpoints to which the stage has been sent.
 	Tried []Tried
-	// HeardSince restricts the choice to endpoints whose latest report arrived
+	// ReportedAfter restricts the choice to endpoints whose latest report arrived
 	// after it; zero means no restriction.
-	HeardSince time.Time
-	// Only restricts the choice to one endpoint, for stages bound to it; empty
+	ReportedAfter time.Time
+	// BoundTo restricts the choice to one endpoint, for stages bound to it; empty
 	// means any endpoint.
-	Only string
+	BoundTo string
 }
 
 // Decision is the outcome of one choice, as logged.
@@ -145,9 +145,9 @@
 	Considered int
 	// Reason is one of the Reason constants.
 	Reason string
-	// MayReturn is true if no endpoint was chosen, but one that is unusable now
+	// MayBecomeUsable is true if no endpoint was chosen, but one that is unusable now
 	// could serve the request later.
-	MayReturn bool
+	MayBecomeUsable bool
 	// Unusable explains why endpoints of the pool may not be used, for at most
 	// maxUnusable of them. It is set only if no endpoint was chosen.
 	Unusable []Unusable
--- a/route/router.go
+++ b/route/router.go
@@ -108,13 +108,13 @@
 	q.Snapshot, q.Pool, q.Request, q.Now, q.Rand = snap, pool, req, now, rng
 	q.prefixEndpoint, q.identityEndpoint = nil, nil
 	var d Decision
-	if req.Only != "" {
+	if req.BoundTo != "" {
 		d = r.pickBound(q)
 	} else {
 		d = r.picker.Pick(q, &r.chain)
 	}
 	if d.Endpoint == nil {
-		d.Unusable, d.MayReturn = r.chain.unusable(q), mayBecomeUsable(q)
+		d.Unusable, d.MayBecomeUsable = r.chain.unusable(q), mayBecomeUsable(q)
 	}
 	q.release()
 	r.queries.Put(q)
@@ -125,7 +125,7 @@
 // endpoint is used too, because the stage cannot run anywhere else.
 func (r *router) pickBound(q *Query) Decision {
 	d := Decision{Considered: 1, Reason: ReasonBoundUnavailable}
-	e := q.Pool.Endpoint(q.Request.Only)
+	e := q.Pool.Endpoint(q.Request.BoundTo)
 	if e == nil || !r.chain.Keep(q, e) {
 		return d
 	}
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -60,15 +60,15 @@
 	}{
 		"unknown pool":     {req: Request{Pool: "other"}, reason: ReasonUnknownPool},
 		"local when idle":  {req: Request{Pool: "llm"}, name: "llm-0000", reason: ReasonLocal},
-		"bound":            {req: Request{Pool: "llm", Only: "llm-0002"}, name: "llm-0002", reason: ReasonBound},
-		"bound to nothing": {req: Request{Pool: "llm", Only: "llm-0009"}, reason: ReasonBoundUnavailable},
+		"bound":            {req: Request{Pool: "llm", BoundTo: "llm-0002"}, name: "llm-0002", reason: ReasonBound},
+		"bound to nothing": {req: Request{Pool: "llm", BoundTo: "llm-0009"}, reason: ReasonBoundUnavailable},
 		"bound and ejected": {
 			change: func(e []*Endpoint) { e[2].State = StateEjected },
-			req:    Request{Pool: "llm", Only: "llm-0002"}, name: "llm-0002", reason: ReasonBound,
+			req:    Request{Pool: "llm", BoundTo: "llm-0002"}, name: "llm-0002", reason: ReasonBound,
 		},
 		"bound and leaving": {
 			change: func(e []*Endpoint) { e[2].State = StateLeaving },
-			req:    Request{Pool: "llm", Only: "llm-0002"}, reason: ReasonBoundUnavailable,
+			req:    Request{Pool: "llm", BoundTo: "llm-0002"}, reason: ReasonBoundUnavailable,
 		},
 		"spills before it queues": {
 			change: func(e []*Endpoint) { e[0].Report.InFlight, e[1].Report.InFlight = 7, 8 },
@@ -180,7 +180,7 @@
 		}
 	}
 	if rapid.IntRange(0, 5).Draw(t, "heard") == 0 {
-		req.HeardSince = start.Add(-20 * time.Second)
+		req.ReportedAfter = start.Add(-20 * time.Second)
 	}
 	seed := rapid.Uint64().Draw(t, "seed")
 	d := r.Pick(snap, req, start, rand.New(rand.NewPCG(seed, 1)))
@@ -209,7 +209,7 @@
 
 // mayUse tells, without the filters, whether e may be used for the request.
 func mayUse(e *Endpoint, req *Request) bool {
-	silent := !req.HeardSince.IsZero() && !req.HeardSince.Before(e.ReportedAt)
+	silent := !req.ReportedAfter.IsZero() && !req.ReportedAfter.Before(e.ReportedAt)
 	if e.State == StateLeaving || e.Report.Down || e.Report.Draining || silent {
 		return false
 	}
--- a/route/unusable.go
+++ b/route/unusable.go
@@ -9,21 +9,21 @@
 // maxUnusable bounds the endpoints listed in Decision.Unusable.
 const maxUnusable = 8
 
-// Away is why an endpoint in StateLeaving takes no work.
-type Away string
+// Unavailability is why an endpoint in StateLeaving takes no work.
+type Unavailability string
 
 // The reasons for StateLeaving.
 const (
-	// AwayLeaving means that the endpoint's VM is leaving, according to the
+	// UnavailableLeaving means that the endpoint's VM is leaving, according to the
 	// platform's list or its own process.
-	AwayLeaving Away = "leaving"
-	// AwayUnreachable means that there is no connection to the endpoint's
+	UnavailableLeaving Unavailability = "leaving"
+	// UnavailableNoConnection means that there is no connection to the endpoint's
 	// agent.
-	AwayUnreachable Away = "unreachable"
-	// AwayDraining means that the agent finishes its calls and takes no more.
-	AwayDraining Away = "draining"
-	// AwayUnready means that the agent holds no bundle yet.
-	AwayUnready Away = "without bundle"
+	UnavailableNoConnection Unavailability = "unreachable"
+	// UnavailableDraining means that the agent finishes its calls and takes no more.
+	UnavailableDraining Unavailability = "draining"
+	// UnavailableNoBundle means that the agent holds no bundle yet.
+	UnavailableNoBundle Unavailability = "without bundle"
 )
 
 // Further reasons given in an Unusable.
@@ -82,12 +82,12 @@
 // back.
 func mayBecomeUsable(q *Query) bool {
 	return slices.ContainsFunc(q.Pool.Endpoints, func(e *Endpoint) bool {
-		return e.Away != AwayLeaving && q.Request.allows(e) && !q.Request.answeredBy(e) && (modelFilter{}).Keep(q, e)
+		return e.Unavailability != UnavailableLeaving && q.Request.allows(e) && !q.Request.answeredBy(e) && (modelFilter{}).Keep(q, e)
 	})
 }
 
 // allows tells whether the stage may run on e: it is not bound, or bound to e.
-func (r *Request) allows(e *Endpoint) bool { return r.Only == "" || r.Only == e.Name }
+func (r *Request) allows(e *Endpoint) bool { return r.BoundTo == "" || r.BoundTo == e.Name }
 
 // answeredBy tells whether the stage was sent to e and e answered.
 func (r *Request) answeredBy(e *Endpoint) bool {
@@ -97,10 +97,10 @@
 // unusableFor returns the first reason why e may not be used for the request.
 func (e *Endpoint) unusableFor(q *Query) string {
 	switch {
-	case e.State == StateLeaving && e.Away != "":
-		return string(e.Away)
+	case e.State == StateLeaving && e.Unavailability != "":
+		return string(e.Unavailability)
 	case e.State == StateLeaving, e.Report.Draining:
-		return string(AwayLeaving)
+		return string(UnavailableLeaving)
 	case e.Report.Down:
 		return UnusableDown
 	case !(excludeFilter{}).Keep(q, e):
--- a/route/unusable_test.go
+++ b/route/unusable_test.go
@@ -22,15 +22,17 @@
 		want      string
 		mayReturn bool
 	}{
-		"leaving":     {change: func(e *Endpoint) { e.State, e.Away = StateLeaving, AwayLeaving }, want: "e: leaving, report 20ms old"},
-		"unreachable": {change: func(e *Endpoint) { e.State, e.Away = StateLeaving, AwayUnreachable }, want: "e: unreachable, report 20ms old", mayReturn: true},
-		"draining":    {change: func(e *Endpoint) { e.State, e.Away = StateLeaving, AwayDraining }, want: "e: draining, report 20ms old", mayReturn: true},
+		"leaving":     {change: func(e *Endpoint) { e.State, e.Unavailability = StateLeaving, UnavailableLeaving }, want: "e: leaving, report 20ms old"},
+		"unreachable": {change: func(e *Endpoint) { e.State, e.Unavailability = StateLeaving, UnavailableNoConnection }, want: "e: unreachable, report 20ms old", mayReturn: true},
+		"draining":    {change: func(e *Endpoint) { e.State, e.Unavailability = StateLeaving, UnavailableDraining }, want: "e: draining, report 20ms old", mayReturn: true},
 		"down":        {change: func(e *Endpoint) { e.Report.Down = true }, want: "e: down, report 20ms old", mayReturn: true},
-		"no report":   {change: func(e *Endpoint) { e.State, e.Away, e.ReportedAt = StateLeaving, AwayUnready, time.Time{} }, want: "e: without bundle, no report", mayReturn: true},
-		"answered":    {req: Request{Tried: []Tried{{Endpoint: "e"}}}, want: "e: tried, report 20ms old"},
-		"lost":        {req: Request{Tried: []Tried{{Endpoint: "e", LostAt: lost}}}, want: "e: tried, report 20ms old", mayReturn: true},
-		"silent":      {req: Request{HeardSince: lost}, want: "e: not heard of, report 20ms old", mayReturn: true},
-		"model":       {req: Request{Model: "other"}, want: "e: model missing, report 20ms old"},
+		"no report": {change: func(e *Endpoint) {
+			e.State, e.Unavailability, e.ReportedAt = StateLeaving, UnavailableNoBundle, time.Time{}
+		}, want: "e: without bundle, no report", mayReturn: true},
+		"answered": {req: Request{Tried: []Tried{{Endpoint: "e"}}}, want: "e: tried, report 20ms old"},
+		"lost":     {req: Request{Tried: []Tried{{Endpoint: "e", LostAt: lost}}}, want: "e: tried, report 20ms old", mayReturn: true},
+		"silent":   {req: Request{ReportedAfter: lost}, want: "e: not heard of, report 20ms old", mayReturn: true},
+		"model":    {req: Request{Model: "other"}, want: "e: model missing, report 20ms old"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +46,7 @@
 			assert.Assert(t, d.Endpoint == nil)
 			assert.Equal(t, len(d.Unusable), 1)
 			assert.Equal(t, d.Unusable[0].String(), test.want)
-			assert.Equal(t, d.MayReturn, test.mayReturn)
+			assert.Equal(t, d.MayBecomeUsable, test.mayReturn)
 		})
 	}
 }
