--- a/entry/admin.go
+++ b/entry/admin.go
@@ -25,7 +25,7 @@
 	Account  string        `json:"account"`
 	Pipeline string        `json:"pipeline"`
 	Parts    []ledger.Part `json:"parts"`
-	Story    ledger.Story  `json:"story"`
+	Timeline ledger.Story  `json:"story"`
 }
 
 func (e *Entry) explain(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +42,7 @@
 		Account:  fields.Account,
 		Pipeline: fields.Pipeline,
 		Parts:    parts,
-		Story:    story,
+		Timeline: story,
 	})
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -271,10 +271,10 @@
 			continue
 		}
 		endpoints = append(endpoints, memberEndpoint{
-			Endpoint: m.VM.Endpoint,
-			Pool:     m.VM.Pool,
-			Domain:   m.VM.Domain,
-			Away:     unavailability(m),
+			Endpoint:       m.VM.Endpoint,
+			Pool:           m.VM.Pool,
+			Domain:         m.VM.Domain,
+			Unavailability: unavailability(m),
 		})
 	}
 	e.fleet.setMembers(endpoints, 1+entries, e.cfg.Now())
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -21,8 +21,8 @@
 	Endpoint string
 	Pool     string
 	Domain   string
-	// Away is why the endpoint takes no work; empty if it does.
-	Away route.Unavailability
+	// Unavailability is why the endpoint takes no work; empty if it does.
+	Unavailability route.Unavailability
 }
 
 // fleet builds routing snapshots from membership, agent reports and endpoint health.
@@ -264,8 +264,8 @@
 	// call.
 	unready := r.Seq > 0 && r.Capacity == 0
 	switch {
-	case p.Away != "":
-		e.Unavailability = p.Away
+	case p.Unavailability != "":
+		e.Unavailability = p.Unavailability
 	case r.Draining:
 		e.Unavailability = route.UnavailableDraining
 	case unready:
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -72,7 +72,7 @@
 	f.setReport(draining, now)
 	assert.Equal(t, f.snapshot(now).Pools["engines"].Endpoint("engines-1").State, route.StateLeaving)
 	assert.Equal(t, f.usable(), 1)
-	f.setMembers([]memberEndpoint{{Endpoint: "engines-2", Pool: "engines", Away: route.UnavailableLeaving}}, 1, now)
+	f.setMembers([]memberEndpoint{{Endpoint: "engines-2", Pool: "engines", Unavailability: route.UnavailableLeaving}}, 1, now)
 	assert.Equal(t, f.usable(), 0)
 	assert.Assert(t, f.load("engines-1") == nil, "a removed member is forgotten")
 }
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -350,7 +350,7 @@
 		}
 		totals.add(e)
 		if problem := explanationMismatch(o, s, e); problem != "" {
-			b.add(wrongExplanation, "%s (%s): %s; %s; %s", o.marker, o.identifiedBy, problem, o.history(), formatStory(&e.Story))
+			b.add(wrongExplanation, "%s (%s): %s; %s; %s", o.marker, o.identifiedBy, problem, o.history(), formatStory(&e.Timeline))
 		}
 	}
 	if problem := totals.mismatch(n); problem != "" {
@@ -367,7 +367,7 @@
 // difference, or "". An explanation may be less definite than the reply if it says
 // that parts are missing.
 func explanationMismatch(o *order, s *submission, e *entry.Explanation) string {
-	story := &e.Story
+	story := &e.Timeline
 	switch {
 	case story.Contradicted:
 		return "the explanation contradicts itself"
@@ -411,17 +411,17 @@
 
 func (s *explanationTotals) add(e *entry.Explanation) {
 	s.explained++
-	s.texts += "\n  " + formatStory(&e.Story)
-	switch e.Story.Outcome {
+	s.texts += "\n  " + formatStory(&e.Timeline)
+	switch e.Timeline.Outcome {
 	case api.OutcomeRefused:
 		s.refused++
 	case api.OutcomeAnswered:
 		s.answered++
 	}
-	if !e.Story.Complete {
+	if !e.Timeline.Complete {
 		s.incomplete++
 	}
-	for _, line := range e.Story.Lines {
+	for _, line := range e.Timeline.Lines {
 		r := line.Record
 		if r == nil || r.Process != r.Endpoint || r.Stage != orderStage {
 			continue
--- a/integration/outcomes_test.go
+++ b/integration/outcomes_test.go
@@ -221,7 +221,7 @@
 	for _, o := range orders {
 		e, err := b.fleet.Explain(t.Context(), 0, o.call.HeldID)
 		assert.NilError(t, err)
-		if e.Story.Outcome == api.OutcomeRefused {
+		if e.Timeline.Outcome == api.OutcomeRefused {
 			refused++
 		}
 	}
@@ -258,9 +258,9 @@
 	b.fleet.WaitReady(recoveryTimeout)
 	e, err := b.fleet.Explain(t.Context(), 0, o.call.HeldID)
 	assert.NilError(t, err)
-	t.Log(formatStory(&e.Story))
-	assert.Equal(t, e.Story.Outcome, api.OutcomeUnknown)
-	assert.Assert(t, !e.Story.Complete)
+	t.Log(formatStory(&e.Timeline))
+	assert.Equal(t, e.Timeline.Outcome, api.OutcomeUnknown)
+	assert.Assert(t, !e.Timeline.Complete)
 	assert.Equal(t, b.runs()[o.marker], 1)
 }
 
