--- a/entry/submit.go
+++ b/entry/submit.go
@@ -251,7 +251,7 @@
 		return nil, release
 	}
 	feasible := admit.Check(now, s.pipeline, s.admit.Deadline.Sub(now), e.estimates,
-		loadAhead{snapshot: snapshot, share: verdict.Ahead})
+		loadAhead{snapshot: snapshot, share: verdict.AheadShare})
 	if !feasible.OK {
 		return withRetry(refusal(id, feasible.Reason, "expected to need "+feasible.Need.String()), feasible.RetryAfter), release
 	}
--- a/internal/slopes/core_test.go
+++ b/internal/slopes/core_test.go
@@ -102,7 +102,7 @@
 // BenchmarkLimiter measures the admission of a request and its release, by the
 // number of accounts that have sent requests within the last second.
 func BenchmarkLimiter(b *testing.B) {
-	idle := limit.Demand{Pool: poolName(0), Occupancy: route.Occupancy{Endpoints: 100, Capacity: 1600}, Hold: time.Second}
+	idle := limit.Demand{Pool: poolName(0), Occupancy: route.Occupancy{Endpoints: 100, Capacity: 1600}, ServiceTime: time.Second}
 	full := idle
 	full.Occupancy.InFlight, full.Occupancy.Queued, full.Occupancy.Service = 1600, 3200, 500*time.Millisecond
 	for name, demand := range map[string]limit.Demand{"idle": idle, "saturated": full} {
--- a/internal/slopes/limit_test.go
+++ b/internal/slopes/limit_test.go
@@ -42,7 +42,7 @@
 		limiters[i] = l
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	demand := limit.Demand{Pool: poolName(0), Hold: time.Second}
+	demand := limit.Demand{Pool: poolName(0), ServiceTime: time.Second}
 	now, refused, counted := epoch, 0, 0
 	for i := range 2 * requests {
 		now = now.Add(time.Duration(rng.ExpFloat64() / offeredRate * float64(time.Second)))
--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -249,7 +249,7 @@
 		})
 		b.Run(fmt.Sprintf("limiter/%d", size), func(b *testing.B) {
 			accounts := testBundle(b, size).Accounts
-			demand := limit.Demand{Pool: poolName(0), Hold: time.Second}
+			demand := limit.Demand{Pool: poolName(0), ServiceTime: time.Second}
 			for range b.N {
 				growth := measureGrowth(func() any {
 					limiter, err := limit.New(bundle.Policy{Name: bundle.PolicyAdaptive})
--- a/limit/adaptive.go
+++ b/limit/adaptive.go
@@ -47,16 +47,16 @@
 // Admit implements Limiter. The pool's share is checked first, because it can
 // be given back, whereas a token taken for a request that is then refused is
 // lost.
-func (a *adaptive) Admit(now time.Time, account *bundle.Account, liveEntries int, demand Demand) Verdict {
+func (a *adaptive) Admit(now time.Time, account *bundle.Account, liveEntries int, demand Demand) Decision {
 	pool := a.pool(demand.Pool)
 	if after, ok := pool.acquire(now, account, liveEntries, demand); !ok {
-		return Verdict{Reason: api.ReasonOverloaded, RetryAfter: after}
+		return Decision{Reason: api.ReasonOverloaded, RetryAfter: after}
 	}
-	if after, ok := a.shard(account.Name).acquire(now, account, liveEntries, demand.Hold); !ok {
+	if after, ok := a.shard(account.Name).acquire(now, account, liveEntries, demand.ServiceTime); !ok {
 		pool.release(account.Name, now, true)
-		return Verdict{Reason: api.ReasonRateLimited, RetryAfter: after}
+		return Decision{Reason: api.ReasonRateLimited, RetryAfter: after}
 	}
-	return Verdict{OK: true, Ahead: pool.aheadShare(account.Priority)}
+	return Decision{OK: true, AheadShare: pool.aheadShare(account.Priority)}
 }
 
 // Done implements Limiter.
--- a/limit/ahead_test.go
+++ b/limit/ahead_test.go
@@ -24,8 +24,8 @@
 	demand := Demand{Pool: "engines", Occupancy: route.Occupancy{Endpoints: 3, Capacity: 1000, Service: time.Second}}
 	now := time.Now()
 	for range 99 {
-		assert.Equal(t, limiter.Admit(now, households, 1, demand).Ahead, 1.0)
+		assert.Equal(t, limiter.Admit(now, households, 1, demand).AheadShare, 1.0)
 	}
-	assert.Equal(t, limiter.Admit(now, desk, 1, demand).Ahead, 0.01)
-	assert.Equal(t, limiter.Admit(now, households, 1, demand).Ahead, 1.0)
+	assert.Equal(t, limiter.Admit(now, desk, 1, demand).AheadShare, 0.01)
+	assert.Equal(t, limiter.Admit(now, households, 1, demand).AheadShare, 1.0)
 }
--- a/limit/demand.go
+++ b/limit/demand.go
@@ -14,9 +14,9 @@
 	Pool string
 	// Occupancy is the pool's load as this entry sees it.
 	Occupancy route.Occupancy
-	// Hold is how long the request will be in flight if it never queues: the
+	// ServiceTime is how long the request will be in flight if it never queues: the
 	// sum of its stages' service times. It is zero if not known.
-	Hold time.Duration
+	ServiceTime time.Duration
 	// Deadline is the time that the pipeline allows a request; zero if not
 	// known.
 	Deadline time.Duration
@@ -39,7 +39,7 @@
 		if o.Service == 0 {
 			o.Service = stage.Typical.D()
 		}
-		d.Hold += o.Service
+		d.ServiceTime += o.Service
 		throughput := float64(o.Capacity) / max(o.Service.Seconds(), math.SmallestNonzeroFloat64)
 		if throughput < slowest {
 			slowest = throughput
@@ -64,7 +64,7 @@
 
 // maxQueueWait returns how long a request may queue before shares are enforced.
 func (d Demand) maxQueueWait() time.Duration {
-	return max(0, time.Duration(queueWaitShare*float64(d.Deadline-d.Hold)))
+	return max(0, time.Duration(queueWaitShare*float64(d.Deadline-d.ServiceTime)))
 }
 
 // saturated tells whether the pool's queue is so long that shares must be
@@ -85,6 +85,6 @@
 	if service == 0 {
 		return max(1, part*inFlightMargin)
 	}
-	serviceTime := max(float64(d.Hold), service)
+	serviceTime := max(float64(d.ServiceTime), service)
 	return max(1, part*serviceTime/service*inFlightMargin, part*(serviceTime+float64(d.maxQueueWait()))/service)
 }
--- a/limit/fair.go
+++ b/limit/fair.go
@@ -106,7 +106,7 @@
 	// If the service time of the whole request is not known, the slots count
 	// calls of one stage but inFlight counts requests in all stages, so the two
 	// cannot be compared.
-	return demand.Hold > 0 && float64(p.inFlight) >= saturationFactor*slots
+	return demand.ServiceTime > 0 && float64(p.inFlight) >= saturationFactor*slots
 }
 
 // release gives a slot back. If canceled is true, the slot was never used, and
@@ -182,7 +182,7 @@
 // its share. By Little's law they finish at a rate of their number divided by
 // the time that each takes.
 func (c *claim) retryAfter(now time.Time, demand Demand) time.Duration {
-	callTime := max(demand.Hold, demand.Occupancy.Service)
+	callTime := max(demand.ServiceTime, demand.Occupancy.Service)
 	if callTime == 0 {
 		callTime = defaultServiceTime
 	}
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -40,8 +40,8 @@
 // ErrUnknownPolicy is returned for a policy name without a limiter.
 var ErrUnknownPolicy = errs.NewType("unknown_policy")
 
-// Verdict is the outcome of Admit.
-type Verdict struct {
+// Decision is the outcome of Admit.
+type Decision struct {
 	// OK is true if the request is admitted.
 	OK bool
 	// Reason is api.ReasonRateLimited if the account has reached its own limit,
@@ -50,18 +50,18 @@
 	// RetryAfter is the wait after which a refused request is likely to be
 	// admitted.
 	RetryAfter time.Duration
-	// Ahead is the share of this entry's calls in flight on the demand's pool
+	// AheadShare is the share of this entry's calls in flight on the demand's pool
 	// that have the request's priority or a higher one, so that an agent's
 	// queue serves them first or treats them alike: 1 for the lowest priority,
 	// near 0 for a priority that hardly any other call has.
-	Ahead float64
+	AheadShare float64
 }
 
 // Limiter decides which requests of which client accounts an entry admits.
 type Limiter interface {
 	// Admit admits or refuses one request. liveEntries is the number of live
 	// entries that this one sees, itself included.
-	Admit(now time.Time, account *bundle.Account, liveEntries int, demand Demand) Verdict
+	Admit(now time.Time, account *bundle.Account, liveEntries int, demand Demand) Decision
 	// Done releases what an admitted request occupied. pool is that of the
 	// request's Demand.
 	Done(account *bundle.Account, pool string, now time.Time)
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -24,7 +24,7 @@
 }
 
 func idle(capacity int) Demand {
-	return Demand{Pool: "llm", Occupancy: route.Occupancy{Endpoints: 1, Capacity: capacity}, Hold: 100 * time.Millisecond}
+	return Demand{Pool: "llm", Occupancy: route.Occupancy{Endpoints: 1, Capacity: capacity}, ServiceTime: 100 * time.Millisecond}
 }
 
 func full(capacity int) Demand {
@@ -172,8 +172,8 @@
 		}
 		running = kept
 		d := idle(capacity)
-		d.Hold = service * time.Millisecond
-		d.Occupancy.InFlight, d.Occupancy.Service = len(running), d.Hold
+		d.ServiceTime = service * time.Millisecond
+		d.Occupancy.InFlight, d.Occupancy.Service = len(running), d.ServiceTime
 		if l.Admit(now, big, 1, d).OK {
 			running = append(running, flight{big, ms + service})
 		}
@@ -264,7 +264,7 @@
 	}
 	d := DemandOf(start, pipeline, snap)
 	assert.Equal(t, d.Pool, "llm")
-	assert.Equal(t, d.Hold, 210*time.Millisecond)
+	assert.Equal(t, d.ServiceTime, 210*time.Millisecond)
 	assert.Assert(t, d.slots(2) > 6.29 && d.slots(2) < 6.31)
 }
 
--- a/limit/naive.go
+++ b/limit/naive.go
@@ -29,9 +29,9 @@
 }
 
 // Admit implements Limiter.
-func (n *naive) Admit(now time.Time, account *bundle.Account, _ int, _ Demand) Verdict {
+func (n *naive) Admit(now time.Time, account *bundle.Account, _ int, _ Demand) Decision {
 	if account.Limit.RequestsPerSecond <= 0 {
-		return Verdict{OK: true, Ahead: 1}
+		return Decision{OK: true, AheadShare: 1}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,9 +41,9 @@
 		n.buckets[account.Name] = b
 	}
 	if !b.AllowN(now, 1) {
-		return Verdict{Reason: api.ReasonRateLimited, RetryAfter: naiveRetryAfter}
+		return Decision{Reason: api.ReasonRateLimited, RetryAfter: naiveRetryAfter}
 	}
-	return Verdict{OK: true, Ahead: 1}
+	return Decision{OK: true, AheadShare: 1}
 }
 
 // Done implements Limiter.
--- a/limit/short_queue_test.go
+++ b/limit/short_queue_test.go
@@ -22,14 +22,14 @@
 	account := &bundle.Account{Name: "a", Weight: 1,
 		Limit: bundle.Limit{RequestsPerSecond: 2e4, Burst: 2e4, InFlight: 2e4}}
 	demand := Demand{
-		Pool:      "catalogue",
-		Occupancy: route.Occupancy{Endpoints: 3, Capacity: 48, Service: 15 * time.Millisecond},
-		Hold:      15 * time.Millisecond,
-		Deadline:  4 * time.Second,
+		Pool:        "catalogue",
+		Occupancy:   route.Occupancy{Endpoints: 3, Capacity: 48, Service: 15 * time.Millisecond},
+		ServiceTime: 15 * time.Millisecond,
+		Deadline:    4 * time.Second,
 	}
 	now := time.Now()
 	admitted := 0
-	verdict := Verdict{OK: true}
+	verdict := Decision{OK: true}
 	for verdict.OK && admitted < 20000 {
 		demand.Occupancy.InFlight = min(admitted, 48)
 		demand.Occupancy.Queued = max(0, admitted-48)
