--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -19,7 +19,7 @@
 	*base
 	agent *agent.Agent
 	// controller is nil if the endpoint's protocol takes no orders.
-	controller *order.Giver
+	controller *order.Controller
 }
 
 // StartAgent starts an agent; s and loaded must have been checked. The process is
@@ -76,12 +76,12 @@
 	return a, nil
 }
 
-func newController(process wire.Process, s settings.Agent, engine order.Engine, log zerolog.Logger) *order.Giver {
+func newController(process wire.Process, s settings.Agent, engine order.Engine, log zerolog.Logger) *order.Controller {
 	return order.New(order.Config{
 		Core: order.CoreConfig{
-			Endpoint: s.Endpoint,
-			Pool:     s.Pool,
-			Giver:    process.Name + "@" + process.Incarnation,
+			Endpoint:   s.Endpoint,
+			Pool:       s.Pool,
+			Controller: process.Name + "@" + process.Incarnation,
 		},
 		Engine: engine,
 		Log:    log,
--- a/order/controller.go
+++ b/order/controller.go
@@ -47,8 +47,8 @@
 	Now func() time.Time
 }
 
-// Giver sends the orders that a Core decides on.
-type Giver struct {
+// Controller sends the orders that a Core decides on.
+type Controller struct {
 	cfg  Config
 	core *Core
 	stop context.CancelFunc
@@ -57,26 +57,26 @@
 }
 
 // New returns a controller that is idle until Start.
-func New(cfg Config) *Giver {
+func New(cfg Config) *Controller {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	if cfg.Core.Start.IsZero() {
 		cfg.Core.Start = cfg.Now()
 	}
-	g := &Giver{cfg: cfg, core: NewCore(cfg.Core)}
+	g := &Controller{cfg: cfg, core: NewCore(cfg.Core)}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	return g
 }
 
 // ApplyBundle applies the bundle in force.
-func (g *Giver) ApplyBundle(v *bundle.Verified) { g.core.Bundle(v.Bundle) }
+func (g *Controller) ApplyBundle(v *bundle.Verified) { g.core.Bundle(v.Bundle) }
 
 // SetLeaving records whether the platform lists this process's VM as leaving.
-func (g *Giver) SetLeaving(leaving bool) { g.core.SetLeaving(leaving) }
+func (g *Controller) SetLeaving(leaving bool) { g.core.SetLeaving(leaving) }
 
 // Start begins to read the engine's state and to send orders.
-func (g *Giver) Start() {
+func (g *Controller) Start() {
 	g.wg.Add(2)
 	go g.runEvery(pollInterval, g.poll)
 	go g.runEvery(TickInterval, g.tick)
@@ -84,14 +84,14 @@
 
 // Stop prevents further orders, cancels the one in progress and waits for it to
 // end.
-func (g *Giver) Stop() {
+func (g *Controller) Stop() {
 	g.core.Drain()
 	g.stop()
 	g.wg.Wait()
 }
 
 // runEvery calls fn once per interval until Stop.
-func (g *Giver) runEvery(interval time.Duration, fn func()) {
+func (g *Controller) runEvery(interval time.Duration, fn func()) {
 	defer g.wg.Done()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -107,7 +107,7 @@
 
 // poll reads the engine's state if the bundle may require orders. A failed read
 // is ignored; the state then expires after stateMaxAge.
-func (g *Giver) poll() {
+func (g *Controller) poll() {
 	if !g.core.Active() {
 		return
 	}
@@ -123,7 +123,7 @@
 
 // tick sends an order in a goroutine of its own, so that a slow engine is not
 // taken for a pause of this process.
-func (g *Giver) tick() {
+func (g *Controller) tick() {
 	dispatch, ok := g.core.Tick(g.cfg.Now())
 	if !ok {
 		return
@@ -137,7 +137,7 @@
 }
 
 // dispatch sends the order if it is still valid, and records the outcome.
-func (g *Giver) dispatch(o endpoint.Order) {
+func (g *Controller) dispatch(o endpoint.Order) {
 	ctx, cancel := context.WithTimeout(g.ctx, orderTimeout)
 	defer cancel()
 	if !g.core.Commit(g.cfg.Now(), o) {
@@ -160,7 +160,7 @@
 	g.withOrderFields(event, &o).Str("event", logOrder).Msg("order")
 }
 
-func (g *Giver) withOrderFields(e *zerolog.Event, o *endpoint.Order) *zerolog.Event {
+func (g *Controller) withOrderFields(e *zerolog.Event, o *endpoint.Order) *zerolog.Event {
 	return e.Str("endpoint", g.cfg.Core.Endpoint).
 		Str("order", string(o.Kind)).
 		Str("model", o.Model).
--- a/order/core.go
+++ b/order/core.go
@@ -67,9 +67,9 @@
 type CoreConfig struct {
 	Endpoint string
 	Pool     string
-	// Giver is the name and incarnation of this process, which each order
+	// Controller is the name and incarnation of this process, which each order
 	// carries.
-	Giver string
+	Controller string
 	// Start is when this process began. Fencing numbers grow with it.
 	Start time.Time
 }
@@ -269,7 +269,7 @@
 		Fence: fence(c.version, c.cfg.Start, c.orders),
 		Kind:  kind,
 		Model: model,
-		Giver: c.cfg.Giver,
+		Giver: c.cfg.Controller,
 	}
 	c.pendingAt = now
 	return Decision{Order: *c.pending, Reason: reason}, true
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -66,7 +66,7 @@
 }
 
 func newCore(start time.Time) *Core {
-	return NewCore(CoreConfig{Endpoint: "llm-1", Pool: "llm", Giver: "agent", Start: start})
+	return NewCore(CoreConfig{Endpoint: "llm-1", Pool: "llm", Controller: "agent", Start: start})
 }
 
 // runCore runs a core against an engine for the duration d and returns the time
