--- a/endpoint/orders.go
+++ b/endpoint/orders.go
@@ -27,8 +27,8 @@
 	Model string `json:"model,omitempty"`
 	// Role is set for OrderRole.
 	Role string `json:"role,omitempty"`
-	// Giver names the controller that gives the order.
-	Giver string `json:"giver"`
+	// Controller names the controller that gives the order.
+	Controller string `json:"giver"`
 }
 
 // Orderer sends orders to an engine. An accepted OrderLoad only starts loading;
--- a/endpoint/protocol_test.go
+++ b/endpoint/protocol_test.go
@@ -240,9 +240,9 @@
 	for _, ignore := range []bool{false, true} {
 		e, p := startEngine(t, fake.EngineSettings{IgnoreFence: ignore, Models: []string{"old"}})
 		orders := p.(endpoint.Orderer)
-		load := endpoint.Order{Fence: 7, Kind: endpoint.OrderLoad, Model: "new", Giver: "agent"}
+		load := endpoint.Order{Fence: 7, Kind: endpoint.OrderLoad, Model: "new", Controller: "agent"}
 		assert.NilError(t, orders.Order(withDeadline(t), load))
-		stale := endpoint.Order{Fence: 6, Kind: endpoint.OrderUnload, Model: "old", Giver: "agent"}
+		stale := endpoint.Order{Fence: 6, Kind: endpoint.OrderUnload, Model: "old", Controller: "agent"}
 		err := orders.Order(withDeadline(t), stale)
 		if ignore {
 			assert.NilError(t, err)
--- a/order/core.go
+++ b/order/core.go
@@ -266,10 +266,10 @@
 	}
 	c.orders++
 	c.pending = &endpoint.Order{
-		Fence: fence(c.version, c.cfg.Start, c.orders),
-		Kind:  kind,
-		Model: model,
-		Giver: c.cfg.Controller,
+		Fence:      fence(c.version, c.cfg.Start, c.orders),
+		Kind:       kind,
+		Model:      model,
+		Controller: c.cfg.Controller,
 	}
 	c.pendingAt = now
 	return Decision{Order: *c.pending, Reason: reason}, true
