--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -101,7 +101,7 @@
 func (r *fixture) dial(name string) (*peer.Conn, *[]wire.StageChunk) {
 	var chunks []wire.StageChunk
 	mux := peer.NewMux()
-	peer.HandleNote(mux, wire.MethodStageChunk, func(_ *peer.Conn, c wire.StageChunk) { chunks = append(chunks, c) })
+	peer.HandleNotification(mux, wire.MethodStageChunk, func(_ *peer.Conn, c wire.StageChunk) { chunks = append(chunks, c) })
 	hello := wire.Hello{Process: wire.Process{Name: name, Incarnation: name}}
 	node := peer.NewNode(peer.Config{Hello: func() wire.Hello { return hello }}, mux)
 	r.t.Cleanup(node.Close)
--- a/daemon/gateway.go
+++ b/daemon/gateway.go
@@ -151,7 +151,7 @@
 		Metrics:          g.metrics,
 		BroadcastCrashes: func(crashes []gateway.Crash) { g.fleet.Broadcast(methodCrashed, crashes) },
 	})
-	peer.HandleNote(mux, methodCrashed, func(_ *peer.Conn, crashes []gateway.Crash) { g.addPeerCrashes(crashes) })
+	peer.HandleNotification(mux, methodCrashed, func(_ *peer.Conn, crashes []gateway.Crash) { g.addPeerCrashes(crashes) })
 	kernel.Handle(g.bus, "scheduler", kernel.TopicView, func(kernel.ViewEvent) { g.scheduler.SetView(g.follower.View()) })
 	kernel.Handle(g.bus, "gateway", kernel.TopicView, func(kernel.ViewEvent) { g.gateway.SetView(g.follower.View()) })
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -137,13 +137,13 @@
 
 // Register adds the entry's peer methods to mux. It must be called before Start.
 func (e *Entry) Register(mux *peer.Mux) {
-	peer.HandleNote(mux, wire.MethodStageChunk, func(_ *peer.Conn, c wire.StageChunk) {
+	peer.HandleNotification(mux, wire.MethodStageChunk, func(_ *peer.Conn, c wire.StageChunk) {
 		e.handle(pipeline.StageChunk{StageChunk: c})
 	})
-	peer.HandleNote(mux, wire.MethodRecordCopy, func(_ *peer.Conn, r ledger.Record) {
+	peer.HandleNotification(mux, wire.MethodRecordCopy, func(_ *peer.Conn, r ledger.Record) {
 		e.cfg.Records.Add(r)
 	})
-	peer.HandleNote(mux, wire.MethodSuspects, func(_ *peer.Conn, counts []suspect.Count) {
+	peer.HandleNotification(mux, wire.MethodSuspects, func(_ *peer.Conn, counts []suspect.Count) {
 		if g := e.current.Load(); g != nil {
 			g.suspects.Merge(counts, e.cfg.Now())
 		}
--- a/fleet/service.go
+++ b/fleet/service.go
@@ -105,7 +105,7 @@
 	cfg.Self.Started = time.Now().UnixMilli()
 	s := &Service{cfg: cfg, links: make(map[string]*link), lost: make(map[*peer.Conn]chan struct{}), ownerDecided: make(chan struct{})}
 	s.core = NewCore(cfg.Self, cfg.Seeds)
-	peer.HandleNote(cfg.Mux, MethodHeartbeat, s.handleHeartbeat)
+	peer.HandleNotification(cfg.Mux, MethodHeartbeat, s.handleHeartbeat)
 	s.node = peer.NewNode(peer.Config{
 		Dial:    peerLimits.DialContext,
 		Hello:   s.hello,
--- a/internal/slopes/wire_test.go
+++ b/internal/slopes/wire_test.go
@@ -33,9 +33,9 @@
 	peer.HandleCall(mux, wire.MethodStageRun, func(_ context.Context, _ *peer.Conn, call wire.StageCall) (wire.StageResult, error) {
 		return stageResult(call.ID), nil
 	})
-	peer.HandleNote(mux, wire.MethodStageChunk, func(*peer.Conn, wire.StageChunk) {})
-	peer.HandleNote(mux, wire.MethodSuspects, func(*peer.Conn, []suspect.Count) {})
-	peer.HandleNote(mux, wire.MethodBundleHead, func(*peer.Conn, wire.BundleHead) {})
+	peer.HandleNotification(mux, wire.MethodStageChunk, func(*peer.Conn, wire.StageChunk) {})
+	peer.HandleNotification(mux, wire.MethodSuspects, func(*peer.Conn, []suspect.Count) {})
+	peer.HandleNotification(mux, wire.MethodBundleHead, func(*peer.Conn, wire.BundleHead) {})
 	peer.HandleCall(mux, wire.MethodBundleFetch, func(_ context.Context, _ *peer.Conn, f wire.BundleFetch) (wire.BundleBody, error) {
 		return wire.BundleBody{Signed: make([]byte, f.Head.Version)}, nil
 	})
--- a/member/service.go
+++ b/member/service.go
@@ -96,10 +96,10 @@
 	s.pauses = pause.NewWatch(cfg.Now, s.onResume)
 	empty, _ := newView(cfg.Now(), time.Time{}, nil)
 	s.view.Store(empty)
-	peer.HandleNote(cfg.Mux, wire.MethodBundleHead, s.onHead)
-	peer.HandleNote(cfg.Mux, wire.MethodReportNote, s.onReportNote)
-	peer.HandleNote(cfg.Mux, wire.MethodVMNote, s.onVMNote)
-	peer.HandleNote(cfg.Mux, wire.MethodRetireNote, s.onRetire)
+	peer.HandleNotification(cfg.Mux, wire.MethodBundleHead, s.onHead)
+	peer.HandleNotification(cfg.Mux, wire.MethodReportNote, s.onReportNote)
+	peer.HandleNotification(cfg.Mux, wire.MethodVMNote, s.onVMNote)
+	peer.HandleNotification(cfg.Mux, wire.MethodRetireNote, s.onRetire)
 	peer.HandleCall(cfg.Mux, wire.MethodBundleFetch, s.serveFetch)
 	s.node = peer.NewNode(peer.Config{
 		TLS: cfg.TLS, Hello: s.hello, OnConnect: s.onConnect, OnClose: s.onClose, OnHandshakeFailed: s.onHandshakeFailed,
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -27,7 +27,7 @@
 	HandleCall(mux, wire.MethodStageRun, func(_ context.Context, _ *Conn, c wire.StageCall) (wire.StageResult, error) {
 		return wire.StageResult{ID: c.ID}, nil
 	})
-	HandleNote(mux, wire.MethodStageChunk, func(*Conn, wire.StageChunk) {})
+	HandleNotification(mux, wire.MethodStageChunk, func(*Conn, wire.StageChunk) {})
 	node := NewNode(Config{Hello: func() wire.Hello { return wire.Hello{} }}, mux)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ours, theirs := net.Pipe()
--- a/peer/mux.go
+++ b/peer/mux.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// HandleNote registers fn for a notification. The read loop of a connection runs
+// HandleNotification registers fn for a notification. The read loop of a connection runs
 // the handlers of its notifications in order, so fn must not block.
-func HandleNote[P any](m *Mux, method string, fn func(from *Conn, params P)) {
+func HandleNotification[P any](m *Mux, method string, fn func(from *Conn, params P)) {
 	m.notifications[method] = func(from *Conn, raw json.RawMessage) error {
 		var params P
 		if err := decodeVerbatim(raw, &params); err != nil {
--- a/peer/params_test.go
+++ b/peer/params_test.go
@@ -21,7 +21,7 @@
 		got <- c.Input
 		return wire.StageResult{Output: c.Input}, nil
 	})
-	HandleNote(mux, wire.MethodStageChunk, func(_ *Conn, c wire.StageChunk) { got <- json.RawMessage(c.Text) })
+	HandleNotification(mux, wire.MethodStageChunk, func(_ *Conn, c wire.StageChunk) { got <- json.RawMessage(c.Text) })
 	hello := func(name string) func() wire.Hello {
 		return func() wire.Hello { return wire.Hello{Process: wire.Process{Name: name, Incarnation: name}} }
 	}
--- a/scheduler/remote.go
+++ b/scheduler/remote.go
@@ -35,10 +35,10 @@
 	peer.HandleCall(mux, MethodSubmit, func(ctx context.Context, _ *peer.Conn, j dispatch.Job) (Decision, error) {
 		return s.Submit(ctx, j)
 	})
-	peer.HandleNote(mux, MethodCancel, func(_ *peer.Conn, n Note) { s.Cancel(n.Ticket) })
-	peer.HandleNote(mux, MethodFirst, func(_ *peer.Conn, n Note) { s.FirstEvent(n.Ticket) })
-	peer.HandleNote(mux, MethodPlaced, func(_ *peer.Conn, p []dispatch.Placement) { s.RecordPlacements(p) })
-	peer.HandleNote(mux, MethodDone, func(_ *peer.Conn, n Note) { s.Done(n.Ticket, n.Served) })
+	peer.HandleNotification(mux, MethodCancel, func(_ *peer.Conn, n Note) { s.Cancel(n.Ticket) })
+	peer.HandleNotification(mux, MethodFirst, func(_ *peer.Conn, n Note) { s.FirstEvent(n.Ticket) })
+	peer.HandleNotification(mux, MethodPlaced, func(_ *peer.Conn, p []dispatch.Placement) { s.RecordPlacements(p) })
+	peer.HandleNotification(mux, MethodDone, func(_ *peer.Conn, n Note) { s.Done(n.Ticket, n.Served) })
 }
 
 // ownerConnTimeout is how long a job waits for the connection to a known owner before
