--- a/agent/core_arrive.go
+++ b/agent/core_arrive.go
@@ -313,7 +313,7 @@
 		waiters:    []waiter{a.newWaiter()},
 		epoch:      a.pause.epoch,
 		received:   a.now,
-		schedState: schedState{priority: a.call.Priority, account: a.call.Account, exclusive: a.call.Alone},
+		schedState: schedState{priority: a.call.Priority, account: a.call.Account, exclusive: a.call.Exclusive},
 	}
 	if c.calls.bind(a.now, a.call.ID, run, a.conf.noteExpiry(a.call.Deadline)) != bindOK {
 		c.rejectCall(a, refused(api.ReasonTableFull, "no room to remember the call"))
--- a/agent/core_model_test.go
+++ b/agent/core_model_test.go
@@ -186,7 +186,7 @@
 		Deadline:     m.now.Add(left + off),
 		Budget:       left,
 		Unrepeatable: h.unrepeatable,
-		Alone:        rapid.IntRange(0, 9).Draw(t, "alone") == 0,
+		Exclusive:    rapid.IntRange(0, 9).Draw(t, "alone") == 0,
 	}
 	if h.unrepeatable {
 		f.call.ID.Stage = "place"
--- a/pipeline/stage.go
+++ b/pipeline/stage.go
@@ -149,7 +149,7 @@
 		Unrepeatable:  stage.Unrepeatable,
 		Binding:       r.binding(r.stage),
 		Fingerprint:   r.Identity.BodyHash,
-		Alone:         alone,
+		Exclusive:     alone,
 		Stream:        r.streams(),
 		MaxTokens:     stage.MaxTokens,
 		Input:         r.Input,
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -141,9 +141,9 @@
 	// Fingerprint is a hash of the content without the identity, used to count
 	// crashes by content.
 	Fingerprint string `json:"fingerprint"`
-	// Alone asks the agent to run the call while no other call is on the
+	// Exclusive asks the agent to run the call while no other call is on the
 	// endpoint.
-	Alone     bool            `json:"alone,omitempty"`
+	Exclusive bool            `json:"alone,omitempty"`
 	Stream    bool            `json:"stream,omitempty"`
 	MaxTokens int             `json:"max_tokens,omitempty"`
 	Input     json.RawMessage `json:"input"`
