--- a/bundle/adoption.go
+++ b/bundle/adoption.go
@@ -34,9 +34,9 @@
 	ResultMalformed AdoptionResult = "malformed"
 	// ResultBadContent means that the bundle is correctly signed but fails Check.
 	ResultBadContent AdoptionResult = "bad_content"
-	// ResultNothing means that the collection did not end because there is no
+	// ResultNoCandidate means that the collection did not end because there is no
 	// candidate.
-	ResultNothing AdoptionResult = "nothing_collected"
+	ResultNoCandidate AdoptionResult = "nothing_collected"
 )
 
 // Adoption is the outcome of one offer, or of the end of the collection, as logged.
@@ -94,7 +94,7 @@
 	case ResultConflictReplaced:
 		return fmt.Sprintf("CONFLICT: version %d was signed with two contents; all processes converge on %s; publish a higher version",
 			a.Offered.Version, offered)
-	case ResultNothing:
+	case ResultNoCandidate:
 		return "no verified bundle has been offered yet"
 	}
 	return string(a.Result)
--- a/bundle/holder.go
+++ b/bundle/holder.go
@@ -155,14 +155,14 @@
 	return a
 }
 
-// Settle ends the collection and adopts the best candidate. If there is none,
+// FinishCollecting ends the collection and adopts the best candidate. If there is none,
 // it reports ResultNothing and the holder continues to collect; call it again
 // later. If a bundle is already in force, it changes nothing and reports
 // ResultHeld.
-func (h *Holder) Settle(now time.Time) Adoption {
+func (h *Holder) FinishCollecting(now time.Time) Adoption {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := Adoption{At: now, Source: "settle", Result: ResultNothing}
+	a := Adoption{At: now, Source: "settle", Result: ResultNoCandidate}
 	best := h.best()
 	switch {
 	case h.Current() != nil:
--- a/bundle/holder_rapid_test.go
+++ b/bundle/holder_rapid_test.go
@@ -100,7 +100,7 @@
 		for _, step := range steps {
 			before := h.Head()
 			if step < 0 {
-				a := h.Settle(epoch)
+				a := h.FinishCollecting(epoch)
 				assert.Equal(rt, a.Changed(), !n.settled && len(n.offered) > 0)
 				n.settled = n.settled || len(n.offered) > 0
 			} else if o := all[step]; o.bad != "" {
@@ -140,9 +140,9 @@
 		for i := range received {
 			one.Offer(epoch, all[received[i]].signed, "peer")
 			two.Offer(epoch, all[shuffled[i]].signed, "peer")
-			two.Settle(epoch)
+			two.FinishCollecting(epoch)
 		}
-		one.Settle(epoch)
+		one.FinishCollecting(epoch)
 		assert.Equal(rt, one.Head(), two.Head())
 	})
 }
--- a/bundle/holder_test.go
+++ b/bundle/holder_test.go
@@ -28,15 +28,15 @@
 // before it chooses, or it would serve requests under an old bundle.
 func TestFreshProcessSettlesOnTheHighest(t *testing.T) {
 	h, sign := newTestHolder(t)
-	assert.Equal(t, h.Settle(epoch).Result, ResultNothing)
+	assert.Equal(t, h.FinishCollecting(epoch).Result, ResultNoCandidate)
 	assert.Equal(t, h.Offer(epoch, sign(7, "a"), "platform").Result, ResultCollected)
 	assert.Assert(t, h.Current() == nil)
 	assert.Equal(t, h.Offer(epoch, sign(8, "a"), "peer").Result, ResultCollected)
 	assert.Equal(t, h.Offer(epoch, sign(7, "a"), "peer").Result, ResultOlder)
 	assert.Assert(t, h.Current() == nil)
-	assert.Assert(t, h.Settle(epoch).Changed())
+	assert.Assert(t, h.FinishCollecting(epoch).Changed())
 	assert.Equal(t, h.Head().Version, uint64(8))
-	assert.Equal(t, h.Settle(epoch).Result, ResultHeld)
+	assert.Equal(t, h.FinishCollecting(epoch).Result, ResultHeld)
 }
 
 // A stale configuration service may offer a version below the one held. The
@@ -45,7 +45,7 @@
 func TestNeverGoesBack(t *testing.T) {
 	h, sign := newTestHolder(t)
 	h.Offer(epoch, sign(1, "a"), "platform")
-	h.Settle(epoch)
+	h.FinishCollecting(epoch)
 	last := uint64(maxPreviousBundles + 3)
 	for v := uint64(2); v <= last; v++ {
 		a := h.Offer(epoch, sign(v, "a"), "platform")
@@ -71,7 +71,7 @@
 	two, _ := newTestHolder(t)
 	for _, h := range []*Holder{one, two} {
 		h.Offer(epoch, sign(4, "a"), "platform")
-		h.Settle(epoch)
+		h.FinishCollecting(epoch)
 	}
 	low, high := sign(5, "a"), sign(5, "b")
 	assert.Equal(t, one.Offer(epoch, low, "platform").Result, ResultAdopted)
@@ -103,7 +103,7 @@
 func TestOfferRefusesBadInput(t *testing.T) {
 	h, sign := newTestHolder(t)
 	h.Offer(epoch, sign(1, "a"), "platform")
-	h.Settle(epoch)
+	h.FinishCollecting(epoch)
 	_, priv := testKey(1)
 	_, otherKey := testKey(2)
 	unchecked, err := Sign(priv, []byte("version: 2\n"))
@@ -134,7 +134,7 @@
 		signed[i] = sign(uint64(i+1), "a")
 	}
 	h.Offer(epoch, signed[0], "platform")
-	h.Settle(epoch)
+	h.FinishCollecting(epoch)
 	var offers sync.WaitGroup
 	for range 4 {
 		offers.Go(func() {
--- a/member/bundles.go
+++ b/member/bundles.go
@@ -192,8 +192,8 @@
 // adoptCollected makes the holder adopt the best collected bundle. If nothing
 // was collected, the holder goes on collecting. The caller holds offerMu.
 func (s *Service) adoptCollected() {
-	a := s.cfg.Holder.Settle(s.cfg.Now())
-	if a.Result != bundle.ResultNothing {
+	a := s.cfg.Holder.FinishCollecting(s.cfg.Now())
+	if a.Result != bundle.ResultNoCandidate {
 		s.recordOffer(&a)
 	}
 	s.apply(&a)
