--- a/agent/core_run.go
+++ b/agent/core_run.go
@@ -41,7 +41,7 @@
 		run.record.state = recordCommitted
 	}
 	event := c.ledgerRecord(now, &run.call, ledger.KindStarted)
-	event.Took = now.Sub(run.received)
+	event.Duration = now.Sub(run.received)
 	fx.add(AddRecord{event})
 	c.addDecision(&fx, &run.call, VerdictStarted, "", "", now.Sub(run.received))
 	return c.endpointCall(run), true, fx.list
@@ -255,7 +255,7 @@
 	event := c.ledgerRecord(now, &run.call, ledger.KindFinished)
 	event.Request, event.Entry, event.Attempt = w.id.Request, w.id.Entry, w.id.Attempt
 	event.Reason = reason
-	event.Took = now.Sub(w.arrived)
+	event.Duration = now.Sub(w.arrived)
 	event.State = stateAfter(status)
 	if w.joined {
 		event.Detail = "waited for " + run.call.ID.String()
@@ -281,7 +281,7 @@
 func (c *Core) ledgerEnd(now time.Time, run *Run, result wire.StageResult, fx *effects) {
 	event := c.ledgerRecord(now, &run.call, ledger.KindFinished)
 	event.Reason, event.Detail = result.Reason, result.Detail
-	event.Took, event.Cost = result.Ran, result.Cost
+	event.Duration, event.Cost = result.Ran, result.Cost
 	event.State = stateAfter(result.Status)
 	if result.Status == wire.StatusRefused {
 		event.Kind = ledger.KindRefused
--- a/cmd/mangostage/explain.go
+++ b/cmd/mangostage/explain.go
@@ -70,7 +70,7 @@
 	return filtered
 }
 
-func printStory(out io.Writer, story ledger.Story) error {
+func printStory(out io.Writer, story ledger.Timeline) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "request %s\n", story.Request)
 	for _, line := range story.Lines {
@@ -106,7 +106,7 @@
 	add("state", string(r.State))
 	add("outcome", string(r.Outcome))
 	add("reason", string(r.Reason))
-	add("took", duration(r.Took))
+	add("took", duration(r.Duration))
 	add("cost", duration(r.Cost))
 	add("detail", r.Detail)
 	return text
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -21,11 +21,11 @@
 	Request string `json:"request"`
 	// Issuer is the entry that minted the ID. Account and Pipeline are the ones
 	// it was minted for.
-	Issuer   string        `json:"issuer"`
-	Account  string        `json:"account"`
-	Pipeline string        `json:"pipeline"`
-	Parts    []ledger.Part `json:"parts"`
-	Timeline ledger.Story  `json:"story"`
+	Issuer   string          `json:"issuer"`
+	Account  string          `json:"account"`
+	Pipeline string          `json:"pipeline"`
+	Parts    []ledger.Part   `json:"parts"`
+	Timeline ledger.Timeline `json:"story"`
 }
 
 func (e *Entry) explain(w http.ResponseWriter, r *http.Request) {
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -54,7 +54,7 @@
 // one runs and then its entry and agent die, only the refusal is left. Only the
 // agent runs that the ID is bound to could have executed the request, so unless
 // each of them answers, a refusal is reported as unknown.
-func (e *Entry) mergeRecords(ctx context.Context, id string, fields reqid.Fields) ([]ledger.Part, ledger.Story) {
+func (e *Entry) mergeRecords(ctx context.Context, id string, fields reqid.Fields) ([]ledger.Part, ledger.Timeline) {
 	parts := e.gatherRecords(ctx, id)
 	missing := e.missingExecutors(fields, parts)
 	parts = append(parts, missing...)
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -396,7 +396,7 @@
 }
 
 // formatStory formats a story in a few lines for messages.
-func formatStory(s *ledger.Story) string {
+func formatStory(s *ledger.Timeline) string {
 	text := s.Verdict
 	for _, line := range s.Lines {
 		if r := line.Record; r != nil {
--- a/internal/slopes/memory_test.go
+++ b/internal/slopes/memory_test.go
@@ -185,7 +185,7 @@
 		r := ledger.Record{
 			Request: requestID(i), At: epoch, Process: "entry-001", Kind: ledger.KindFinished, Account: accountName(1),
 			Pipeline: pipelineName(1), Stage: "stage-0", Endpoint: endpointName(i), Attempt: 1,
-			State: api.StageDone, Took: time.Second, Cost: time.Second,
+			State: api.StageDone, Duration: time.Second, Cost: time.Second,
 		}
 		for range recordsPerRequest {
 			store.Add(r)
--- a/ledger/merge.go
+++ b/ledger/merge.go
@@ -16,9 +16,9 @@
 	Missing string `json:"missing,omitempty"`
 }
 
-// Story is the timeline of one request, merged from the parts of all processes
+// Timeline is the timeline of one request, merged from the parts of all processes
 // that answered.
-type Story struct {
+type Timeline struct {
 	Request string `json:"request"`
 	// Lines are the records in order of time, with gaps where records are missing.
 	Lines   []Line      `json:"lines"`
@@ -52,8 +52,8 @@
 // Merge merges the parts of several processes in order of time. Clocks of
 // processes differ, so lines of different processes may be out of order by that
 // difference; lines of one process never are.
-func Merge(request string, parts ...Part) Story {
-	s := Story{Request: request}
+func Merge(request string, parts ...Part) Timeline {
+	s := Timeline{Request: request}
 	records := dedupe(parts)
 	gaps := unansweredGaps(parts)
 	gaps = append(gaps, findGaps(records)...)
@@ -330,7 +330,7 @@
 // setVerdict sets Outcome, Verdict and Contradicted. A missing record proves
 // nothing, because records are bounded and processes come and go: the outcome is
 // "refused" only if a record says so, never because none was found.
-func (s *Story) setVerdict(e evidence) {
+func (s *Timeline) setVerdict(e evidence) {
 	switch {
 	case e.final == nil && e.started != nil:
 		s.Outcome = api.OutcomeUnknown
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -41,6 +41,6 @@
 	Outcome  api.Outcome    `json:"outcome,omitempty"`
 	Reason   api.Reason     `json:"reason,omitempty"`
 	Detail   string         `json:"detail,omitempty"`
-	Took     time.Duration  `json:"took_ns,omitempty"`
+	Duration time.Duration  `json:"took_ns,omitempty"`
 	Cost     time.Duration  `json:"cost_ns,omitempty"`
 }
--- a/pipeline/finish.go
+++ b/pipeline/finish.go
@@ -97,7 +97,7 @@
 		t.closeAttempt(a, outcome)
 	}
 	t.record(ledger.Record{Kind: ledger.KindFinal, Entry: r.entry, Outcome: outcome, Reason: c.reason, Detail: c.detail,
-		Took: t.now.Sub(r.admitted)})
+		Duration: t.now.Sub(r.admitted)})
 	if t.shard.requests[r.RequestID] == r {
 		delete(t.shard.requests, r.RequestID)
 	}
@@ -110,7 +110,7 @@
 	r := t.r
 	if !a.ended() {
 		t.revoke(a)
-		t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: a.state(), Took: t.now.Sub(a.sentAt),
+		t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: a.state(), Duration: t.now.Sub(a.sentAt),
 			Detail: "not answered when the request ended"})
 	}
 	if a.cost > 0 {
--- a/pipeline/result.go
+++ b/pipeline/result.go
@@ -73,7 +73,7 @@
 		t.emit(o)
 	}
 	t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: a.state(), Reason: res.Reason,
-		Detail: res.Detail, Took: a.elapsed, Cost: res.Cost})
+		Detail: res.Detail, Duration: a.elapsed, Cost: res.Cost})
 	t.proceed(a)
 }
 
@@ -135,7 +135,7 @@
 	t.reportRunEnd(a)
 	t.emit(t.observe(a, outcome))
 	t.recordAttempt(a, ledger.Record{Kind: ledger.KindFinished, State: state,
-		Reason: api.ReasonConnectionLost, Took: a.elapsed})
+		Reason: api.ReasonConnectionLost, Duration: a.elapsed})
 	t.proceed(a)
 }
 
