--- a/confsvc/client.go
+++ b/confsvc/client.go
@@ -28,9 +28,9 @@
 	maxReplyHeader = 64 << 10
 	// idleTimeout is how long an idle connection to the platform is kept.
 	idleTimeout = 90 * time.Second
-	// WholeReply bounds the time of a whole reply, from its first byte: a list of
+	// MaxReplyTime bounds the time of a whole reply, from its first byte: a list of
 	// MaxListReply bytes takes 13 s at 10 Mbit/s.
-	WholeReply = 30 * time.Second
+	MaxReplyTime = 30 * time.Second
 )
 
 var (
@@ -167,7 +167,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return decode(guard.Answer(resp.Body, c.timeout, WholeReply), path, limit, into)
+		return decode(guard.Answer(resp.Body, c.timeout, MaxReplyTime), path, limit, into)
 	case http.StatusTooManyRequests:
 		return ErrRateLimited.New("get %s: too many calls", path)
 	case http.StatusNotFound:
--- a/member/lister.go
+++ b/member/lister.go
@@ -12,7 +12,7 @@
 const (
 	// platformTimeout bounds one whole read from the platform. The client aborts a
 	// read sooner when the service sends nothing.
-	platformTimeout = confsvc.WholeReply
+	platformTimeout = confsvc.MaxReplyTime
 	// startupReadsPerSecond is the rate of first reads of the list of VMs, and as
 	// many of the bundle, by a fleet whose processes all start or resume together.
 	startupReadsPerSecond = 500
