--- a/cmd/mangostage/gateway_load.go
+++ b/cmd/mangostage/gateway_load.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if !c.Compare {
-		return c.show(out, report, gatewayLoadResults{Report: report}, report.Broken())
+		return c.show(out, report, gatewayLoadResults{Report: report}, report.HasViolations())
 	}
 	cfg.Naive = true
 	baseline, err := runEdgeWithProgress(ctx, cfg, errOut)
@@ -57,7 +57,7 @@
 		return err
 	}
 	comparison := load.CompareEdge(report, baseline)
-	return c.show(out, comparison, gatewayLoadResults{Comparison: comparison}, comparison.Broken())
+	return c.show(out, comparison, gatewayLoadResults{Comparison: comparison}, comparison.HasViolations())
 }
 
 func (c *gatewayLoad) config(errOut io.Writer) (load.EdgeConfig, error) {
--- a/cmd/mangostage/load.go
+++ b/cmd/mangostage/load.go
@@ -110,12 +110,12 @@
 // broken reports whether any run violated an integrity guarantee.
 func (r *loadResults) broken() bool {
 	for _, report := range r.Reports {
-		if report.Broken() {
+		if report.HasViolations() {
 			return true
 		}
 	}
 	for _, c := range r.Comparisons {
-		if c.Report.Broken() || c.Baseline.Broken() {
+		if c.Report.HasViolations() || c.Baseline.HasViolations() {
 			return true
 		}
 	}
--- a/load/edge_report.go
+++ b/load/edge_report.go
@@ -64,8 +64,8 @@
 	return r
 }
 
-// Broken reports whether an answer was incomplete or belonged to another request.
-func (r *EdgeReport) Broken() bool { return r.Total.Wrong > 0 }
+// HasViolations reports whether an answer was incomplete or belonged to another request.
+func (r *EdgeReport) HasViolations() bool { return r.Total.Wrong > 0 }
 
 // WriteTable writes the report as text for people.
 func (r *EdgeReport) WriteTable(out io.Writer) error {
@@ -126,8 +126,10 @@
 	}}
 }
 
-// Broken reports whether one of the two reports is broken.
-func (c *EdgeComparison) Broken() bool { return c.Report.Broken() || c.Baseline.Broken() }
+// HasViolations reports whether one of the two reports is broken.
+func (c *EdgeComparison) HasViolations() bool {
+	return c.Report.HasViolations() || c.Baseline.HasViolations()
+}
 
 // WriteTable writes both reports and their ratios as text for people.
 func (c *EdgeComparison) WriteTable(out io.Writer) error {
--- a/load/reply_test.go
+++ b/load/reply_test.go
@@ -149,7 +149,7 @@
 				assert.Equal(t, report.Policy, policy)
 				assert.Assert(t, report.Total.Sent > 10)
 				assert.Equal(t, report.Total.InTime, report.Total.Sent, "%+v", report.Integrity)
-				assert.Assert(t, !report.Broken(), "%+v", report.Integrity)
+				assert.Assert(t, !report.HasViolations(), "%+v", report.Integrity)
 				assert.Assert(t, report.CostTotal.Useful > 0)
 			})
 		}
--- a/load/summary_test.go
+++ b/load/summary_test.go
@@ -68,7 +68,7 @@
 	// Two answers with two calls each, of the ten calls that the pool can finish
 	// in 100 s.
 	assert.Equal(t, r.PoolGoodput, 0.4)
-	assert.Assert(t, r.Broken())
+	assert.Assert(t, r.HasViolations())
 }
 
 func TestQuantiles(t *testing.T) {
--- a/load/table.go
+++ b/load/table.go
@@ -171,7 +171,7 @@
 	return fmt.Sprintf("%.2fs", d.Seconds())
 }
 
-// Broken reports whether the run violated a guarantee; see Integrity.
-func (r *Report) Broken() bool {
+// HasViolations reports whether the run violated a guarantee; see Integrity.
+func (r *Report) HasViolations() bool {
 	return r.Integrity.Wrong+r.Integrity.RepeatedStages+r.Integrity.RefusedButRan > 0
 }
