--- a/integration/answers_test.go
+++ b/integration/answers_test.go
@@ -62,7 +62,7 @@
 			cataloguePool: 2, ordersPool: 2, "encoders": 2, "retrievers": 2, enginesPool: 2,
 		},
 		ProxyEndpoints: true,
-		Plain:          true,
+		NoRace:         true,
 	})
 	return &answerTest{t: t, fleet: fleet}
 }
--- a/integration/latency_test.go
+++ b/integration/latency_test.go
@@ -49,10 +49,10 @@
 	fleet := harness.Start(b, harness.Config{
 		Pools:   map[string]int{catalogue: 1},
 		Entries: 1,
-		Plain:   true,
+		NoRace:  true,
 		// The fake endpoint runs in its own process, shared neither with the caller
 		// nor with the entry.
-		EndpointsApart: true,
+		SeparateEndpoints: true,
 		Edit: func(b *bundle.Bundle) {
 			b.Accounts[0].Limit = bundle.Limit{RequestsPerSecond: unlimited, Burst: unlimited, InFlight: unlimited}
 		},
@@ -69,7 +69,7 @@
 		if reply.Outcome() != api.OutcomeAnswered {
 			b.Fatalf("%v, %s", reply.Err, reply.Body)
 		}
-		record(b, through, reply.Took)
+		record(b, through, reply.Elapsed)
 	}
 	for _, q := range []struct {
 		name  string
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -125,7 +125,7 @@
 		ProxyPeers:     true,
 		ProxyEndpoints: true,
 		ProxyPlatform:  true,
-		Plain:          true,
+		NoRace:         true,
 	}
 	if change != nil {
 		change(&cfg)
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -65,7 +65,7 @@
 			// dozen cores, sometimes get no processor time for more than a second,
 			// treat that as a pause and drop their connections. So this test runs
 			// without the race detector; the other tests run with it.
-			p := &pathTest{t: t, fleet: harness.Start(t, harness.Config{Deployment: deployment, LogLevel: "warn", Plain: true})}
+			p := &pathTest{t: t, fleet: harness.Start(t, harness.Config{Deployment: deployment, LogLevel: "warn", NoRace: true})}
 			defer p.report(t)
 			defer p.logPauses()
 			for i := range p.fleet.Bundle.Pipelines {
--- a/integration/placement_test.go
+++ b/integration/placement_test.go
@@ -150,7 +150,7 @@
 	})
 	engine, err := url.Parse(fleet.Endpoint(engineName).URL())
 	assert.NilError(t, err)
-	gate.To(engine.Host)
+	gate.SetUpstream(engine.Host)
 	fleet.WaitReady(waitTimeout)
 	return fleet, gate
 }
@@ -186,7 +186,7 @@
 	gate.Open()
 	fleet.Publish(bundleWithModels(fleet, 3, baseModel, newModel))
 	// The kernel completes the connection of the frozen process.
-	harness.Wait(t, waitTimeout, gate.Connected)
+	harness.Wait(t, waitTimeout, gate.CheckConnected)
 	waitUntil(stopped, agentPause)
 	agent.Cont()
 	awaitModel(t, engine, newModel)
@@ -213,10 +213,10 @@
 			gate.Hold()
 			fleet.Publish(bundleWithModels(fleet, 2, baseModel, oldModel))
 			awaitDecision(t, agent, oldModel)
-			harness.Wait(t, waitTimeout, gate.Held)
+			harness.Wait(t, waitTimeout, gate.CheckWaiting)
 			agent.Stop()
 			fleet.Publish(bundleWithModels(fleet, 3, baseModel, newModel))
-			fleet.Replace(engineName)
+			fleet.ReplaceAgent(engineName)
 			awaitModel(t, engine, newModel)
 			gate.Open()
 			harness.Wait(t, waitTimeout, func() error {
@@ -253,13 +253,13 @@
 	})
 	leaving := fleet.Agent(engineName)
 	fleet.SetVMState(leaving.VM, confsvc.VMLeaving)
-	harness.Wait(t, waitTimeout, func() error { return fleet.Unusable(0, engineName) })
+	harness.Wait(t, waitTimeout, func() error { return fleet.CheckUnusable(0, engineName) })
 	fleet.Publish(bundleWithModels(fleet, 2, baseModel, newModel))
-	harness.Wait(t, waitTimeout, func() error { return fleet.InForce(2) })
+	harness.Wait(t, waitTimeout, func() error { return fleet.CheckBundleVersion(2) })
 	// Wait for the time of three loads.
 	waitUntil(time.Now(), 3*time.Minute/loadsPerMinute)
 	assert.Equal(t, len(orderLines(leaving, decisionMessage)), 0)
-	old := fleet.Replace(engineName)
+	old := fleet.ReplaceAgent(engineName)
 	awaitModel(t, fleet.Endpoint(engineName), newModel)
 	assert.Equal(t, len(orderLines(old, decisionMessage)), 0)
 	// The agent writes the line when the engine has answered, shortly after the
--- a/integration/poison_test.go
+++ b/integration/poison_test.go
@@ -69,14 +69,14 @@
 		limit = fleet.Bundle.Policy.CrashLimit * len(fleet.Entries())
 	}
 	crashes := countCrashes(fleet)
-	t.Logf("%d submissions, %d crashes, at most %d allowed; the last was refused after %v", crashSubmissions, crashes, limit, last.Took)
+	t.Logf("%d submissions, %d crashes, at most %d allowed; the last was refused after %v", crashSubmissions, crashes, limit, last.Elapsed)
 	assert.Assert(t, crashes >= 1 && crashes <= limit, "%d crashes", crashes)
 
 	assert.Equal(t, last.Outcome(), api.OutcomeRefused, "%s", last.Body)
 	assert.Equal(t, last.Reason(), api.ReasonSuspectRequest)
 	assert.Equal(t, last.Status, http.StatusServiceUnavailable)
 	assert.Assert(t, last.Header.Get("Retry-After") != "")
-	assert.Assert(t, last.Took < maxRefusalTime, "refused after %v", last.Took)
+	assert.Assert(t, last.Elapsed < maxRefusalTime, "refused after %v", last.Elapsed)
 
 	answered := tr.answered.Load()
 	harness.Wait(t, waitTimeout, func() error { return answeredSince(tr, answered, 100) })
--- a/integration/rollout_test.go
+++ b/integration/rollout_test.go
@@ -332,7 +332,7 @@
 // platformRate returns the reads of the platform per second in steady state.
 func platformRate(t *testing.T, entries, agents int) float64 {
 	fleet := harness.Start(t, harness.Config{
-		Pools: map[string]int{poolCatalogue: agents}, Entries: entries, Plain: true, LogLevel: "warn",
+		Pools: map[string]int{poolCatalogue: agents}, Entries: entries, NoRace: true, LogLevel: "warn",
 	})
 	calls := func() int {
 		c := fleet.Platform.Counts()
--- a/integration/scenarios_test.go
+++ b/integration/scenarios_test.go
@@ -32,7 +32,7 @@
 // engine and one encoder are down. It counts the answers in time and compares each
 // with the expected one.
 func TestScenariosWithProcesses(t *testing.T) {
-	fleet := harness.Start(t, harness.Config{Deployment: examples.Brunnhofer, Plain: true, LogLevel: "warn"})
+	fleet := harness.Start(t, harness.Config{Deployment: examples.Brunnhofer, NoRace: true, LogLevel: "warn"})
 	var urls []string
 	for _, e := range fleet.Entries() {
 		urls = append(urls, e.URL)
--- a/integration/stages_test.go
+++ b/integration/stages_test.go
@@ -33,7 +33,7 @@
 	return harness.Start(t, harness.Config{
 		Pools:      map[string]int{cataloguePool: catalogues, ordersPool: 2, billingPool: 2},
 		ProxyPeers: true,
-		Plain:      true,
+		NoRace:     true,
 		Edit:       withKeyRetention(2*time.Minute, skew),
 		Service: func(p *bundle.Pool, s *fake.ServiceSettings) {
 			s.Time = orderTime
--- a/integration/traffic_test.go
+++ b/integration/traffic_test.go
@@ -124,7 +124,7 @@
 // away.
 func (tr *traffic) checkReply(call harness.Call, entry int, reply *harness.Reply) {
 	what := fmt.Sprintf("%s %s through entry-%d after %v: status %d, %v, %s", call.Pipeline, call.Input, entry+1,
-		reply.Took, reply.Status, reply.Err, summary(reply))
+		reply.Elapsed, reply.Status, reply.Err, summary(reply))
 	switch {
 	case reply.Err != nil:
 		tr.add(incompleteReply, "%s", what)
--- a/internal/harness/client.go
+++ b/internal/harness/client.go
@@ -68,8 +68,8 @@
 	Problem *api.Problem
 	// Events holds the events of a streamed reply.
 	Events []Event
-	// Took is the time from the start of the request to the end of the reply.
-	Took time.Duration
+	// Elapsed is the time from the start of the request to the end of the reply.
+	Elapsed time.Duration
 }
 
 // Event is one server-sent event.
@@ -162,14 +162,14 @@
 	resp, err := f.http.Do(req)
 	if err != nil {
 		reply.Err = err
-		reply.Took = time.Since(start)
+		reply.Elapsed = time.Since(start)
 		return reply
 	}
 	defer func() { _ = resp.Body.Close() }()
 	reply.Status = resp.StatusCode
 	reply.Header = resp.Header
 	reply.Body, reply.Err = io.ReadAll(resp.Body)
-	reply.Took = time.Since(start)
+	reply.Elapsed = time.Since(start)
 	if err := reply.decode(); err != nil && reply.Err == nil {
 		reply.Err = err
 	}
--- a/internal/harness/config.go
+++ b/internal/harness/config.go
@@ -41,11 +41,11 @@
 	// ProxyPlatform puts a proxy between each process and the platform, as
 	// PlatformLink requires.
 	ProxyPlatform bool
-	// EndpointsApart runs all endpoint stand-ins in one separate process instead of
+	// SeparateEndpoints runs all endpoint stand-ins in one separate process instead of
 	// the test process.
-	EndpointsApart bool
-	// Plain runs binaries without the race detector.
-	Plain bool
+	SeparateEndpoints bool
+	// NoRace runs binaries without the race detector.
+	NoRace bool
 	// Platform configures the platform stand-in.
 	Platform fake.PlatformSettings
 	// Engine and Service, if set, change the settings of the endpoint stand-ins.
--- a/internal/harness/endpoint.go
+++ b/internal/harness/endpoint.go
@@ -41,13 +41,13 @@
 func (f *Fleet) newStandIn(pool *bundle.Pool, name string, seed uint64) StandIn {
 	if pool.Protocol == bundle.ProtocolEngine {
 		s := f.cfg.engineSettings(pool, seed)
-		if f.cfg.EndpointsApart {
+		if f.cfg.SeparateEndpoints {
 			return f.addRemoteStandIn(name, s)
 		}
 		return fake.NewEngine(s)
 	}
 	s := f.cfg.serviceSettings(pool, seed)
-	if f.cfg.EndpointsApart {
+	if f.cfg.SeparateEndpoints {
 		return f.addRemoteStandIn(name, s)
 	}
 	return fake.NewService(s)
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -87,12 +87,12 @@
 		proxies:         newProxyServer(),
 		http:            newHTTPClient(),
 	}
-	Binary(t, binaryEntry, cfg.Plain)
+	Binary(t, binaryEntry, cfg.NoRace)
 	t.Cleanup(f.stop)
 	f.prepare()
 	f.startPlatform()
 	f.startEndpoints()
-	if cfg.EndpointsApart {
+	if cfg.SeparateEndpoints {
 		f.startEndpointsProcess()
 	}
 	f.configureAgents()
@@ -217,7 +217,7 @@
 // addProcess adds a VM to the fleet and returns its process, not yet started.
 func (f *Fleet) addProcess(vm confsvc.VM, name, binary string, args []string) *Process {
 	f.vms = append(f.vms, vm)
-	return &Process{Name: name, VM: vm.Name, t: f.t, binary: Binary(f.t, binary, f.cfg.Plain), args: args}
+	return &Process{Name: name, VM: vm.Name, t: f.t, binary: Binary(f.t, binary, f.cfg.NoRace), args: args}
 }
 
 // commonFlags returns the flags that all processes share. It reserves the peer
--- a/internal/harness/gate.go
+++ b/internal/harness/gate.go
@@ -87,8 +87,8 @@
 // URL returns the URL of the gate, to be used as that of the endpoint.
 func (g *Gate) URL() string { return "http://" + g.listener.Addr().String() }
 
-// To sets the address to which connections are forwarded, as host:port.
-func (g *Gate) To(address string) {
+// SetUpstream sets the address to which connections are forwarded, as host:port.
+func (g *Gate) SetUpstream(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.upstream = address
@@ -127,9 +127,9 @@
 	g.t.Fatal("the backlog of the gate's listener does not fill up")
 }
 
-// Held returns nil if a connection that has sent data waits at the gate to be
+// CheckWaiting returns nil if a connection that has sent data waits at the gate to be
 // forwarded.
-func (g *Gate) Held() error {
+func (g *Gate) CheckWaiting() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.waiting == 0 {
@@ -138,9 +138,9 @@
 	return nil
 }
 
-// Connected returns nil if a connection was accepted since the last change of
+// CheckConnected returns nil if a connection was accepted since the last change of
 // mode.
-func (g *Gate) Connected() error {
+func (g *Gate) CheckConnected() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.accepted == 0 {
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -64,9 +64,9 @@
 
 func TestEndpointsInSeparateProcess(t *testing.T) {
 	fleet := harness.Start(t, harness.Config{
-		Pools:          map[string]int{catalogue: 2, "encoders": 1, "retrievers": 1, "fitting-engines": 1},
-		EndpointsApart: true,
-		ProxyEndpoints: true,
+		Pools:             map[string]int{catalogue: 2, "encoders": 1, "retrievers": 1, "fitting-engines": 1},
+		SeparateEndpoints: true,
+		ProxyEndpoints:    true,
 	})
 	for _, pipeline := range []string{catalogue, "fitting-notes"} {
 		input := harness.Marker(pipeline)
@@ -94,9 +94,9 @@
 	fleet.WaitReady(waitTimeout)
 
 	fleet.SetVMState("vm-catalogue-1", confsvc.VMLeaving)
-	harness.Wait(t, waitTimeout, func() error { return fleet.Unusable(0, "catalogue-1") })
+	harness.Wait(t, waitTimeout, func() error { return fleet.CheckUnusable(0, "catalogue-1") })
 	fleet.Endpoint("catalogue-2").Apply(fake.Control{Crash: true})
 	assert.Equal(t, fleet.Endpoint("catalogue-2").Counts().Crashes, 1)
 	fleet.Publish(fleet.YAML(nil))
-	harness.Wait(t, waitTimeout, func() error { return fleet.InForce(fleet.Bundle.Version + 1) })
+	harness.Wait(t, waitTimeout, func() error { return fleet.CheckBundleVersion(fleet.Bundle.Version + 1) })
 }
--- a/internal/harness/remote.go
+++ b/internal/harness/remote.go
@@ -94,7 +94,7 @@
 	f.must(err)
 	path := filepath.Join(f.t.TempDir(), "pool.yaml")
 	f.must(os.WriteFile(path, content, poolFileMode))
-	f.endpointsProcess = &Process{Name: endpointsProcessName, t: f.t, binary: Binary(f.t, binaryFake, f.cfg.Plain), args: []string{"pool", path}}
+	f.endpointsProcess = &Process{Name: endpointsProcessName, t: f.t, binary: Binary(f.t, binaryFake, f.cfg.NoRace), args: []string{"pool", path}}
 	f.must(f.endpointsProcess.start())
 	Wait(f.t, endpointsStartTimeout, func() error {
 		for _, e := range f.endpoints {
--- a/internal/harness/replace.go
+++ b/internal/harness/replace.go
@@ -7,11 +7,11 @@
 	"github.com/mangostage/mangostage/wire"
 )
 
-// Replace starts a new agent for an endpoint on a new VM, as after the platform
+// ReplaceAgent starts a new agent for an endpoint on a new VM, as after the platform
 // replaced the VM, and lists the new VM instead of the old one. It returns the old
-// agent, which keeps running until the end of the test. Replace cannot be used
+// agent, which keeps running until the end of the test. ReplaceAgent cannot be used
 // with Config.ProxyPeers.
-func (f *Fleet) Replace(endpoint string) *Process {
+func (f *Fleet) ReplaceAgent(endpoint string) *Process {
 	f.t.Helper()
 	if f.views != nil {
 		f.t.Fatal("an agent cannot be replaced if ProxyPeers is set")
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// Unusable returns nil if an entry sees an endpoint as draining or down, or does
+// CheckUnusable returns nil if an entry sees an endpoint as draining or down, or does
 // not list it.
-func (f *Fleet) Unusable(entryIndex int, endpoint string) error {
+func (f *Fleet) CheckUnusable(entryIndex int, endpoint string) error {
 	list, err := f.Status(f.t.Context(), entryIndex)
 	if err != nil {
 		return err
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// InForce returns nil if every running process uses the given version of the
+// CheckBundleVersion returns nil if every running process uses the given version of the
 // bundle, according to the status that the first running entry collects.
-func (f *Fleet) InForce(version uint64) error {
+func (f *Fleet) CheckBundleVersion(version uint64) error {
 	var list []entry.ProcessStatus
 	for i, e := range f.entries {
 		if !e.Running() {
--- a/internal/slopes/process_test.go
+++ b/internal/slopes/process_test.go
@@ -51,7 +51,7 @@
 func startProcesses(tb testing.TB, pools map[string]int) *harness.Fleet {
 	return harness.Start(tb, harness.Config{
 		Bundle: fmt.Appendf(nil, processBundle, hash("operator"), hash("caller")),
-		Pools:  pools, Entries: 1, Plain: true,
+		Pools:  pools, Entries: 1, NoRace: true,
 	})
 }
 
