--- a/reqlog/reqlog.go
+++ b/reqlog/reqlog.go
@@ -1,6 +1,6 @@
-// Package reqlog reads the log lines of gateways and tells what became of one
-// request. Processes keep nothing, so their logs are all that is left of a
-// request after it has ended.
+// Package reqlog reads the logs of gateways and reconstructs the outcome of one
+// request. Processes keep no record of a request after it has ended, so their
+// logs are the only source.
 package reqlog
 
 import (
@@ -15,21 +15,23 @@
 	"github.com/joomcode/errorx"
 )
 
-// maxLine is the longest line that is read, in bytes; gateways write a few hundred.
-const maxLine = 1 << 20
+// maxLineBytes is the length of the longest line that can be read; gateways
+// write lines of a few hundred bytes.
+const maxLineBytes = 1 << 20
 
 var errs = errorx.NewNamespace("reqlog")
 
 // ErrUnreadable is returned for input that cannot be read.
 var ErrUnreadable = errs.NewType("unreadable")
 
-// Line is one log line of a gateway, with the fields that a story needs.
+// Line is one log line of a gateway, with the fields that the history of a
+// request needs.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Process string    `json:"process"`
 	Event   string    `json:"event"`
-	// Request is the ID of the request that a line is about; Requests are those
-	// whose pieces one call for a stage carried.
+	// Request is the ID of the request that the line is about. Requests are the
+	// IDs of those whose pieces a call for a stage contained.
 	Request  string   `json:"request,omitempty"`
 	Requests []string `json:"requests,omitempty"`
 	Route    string   `json:"route,omitempty"`
@@ -39,22 +41,29 @@
 	Owner  string `json:"owner,omitempty"`
 	Status int    `json:"status,omitempty"`
 	Reason string `json:"reason,omitempty"`
-	// Offered says that an endpoint was sent the request.
+	// Offered is true if the request was sent to an endpoint.
 	Offered bool `json:"offered,omitempty"`
-	// MayHaveRun is nil on lines that do not say.
-	MayHaveRun *bool  `json:"may_have_run,omitempty"`
-	ClientLeft bool   `json:"client_left,omitempty"`
-	Expired    bool   `json:"expired,omitempty"`
-	Error      string `json:"error,omitempty"`
-	Fault      string `json:"fault,omitempty"`
-	// Queue is the service that was short of something, Short of what, and Behind
-	// by how many milliseconds the request would have been late.
+	// MayHaveRun tells whether the request may have run; nil if the line does
+	// not state it.
+	MayHaveRun *bool `json:"may_have_run,omitempty"`
+	// ClientLeft is true if the client closed its connection before the end.
+	ClientLeft bool `json:"client_left,omitempty"`
+	// Expired is true if the request's deadline had passed.
+	Expired bool   `json:"expired,omitempty"`
+	Error   string `json:"error,omitempty"`
+	Fault   string `json:"fault,omitempty"`
+	// Queue is the service that lacked a resource for the request, Short the name
+	// of the resource, and Behind the time in milliseconds by which the request
+	// would have missed its deadline.
 	Queue  string  `json:"queue,omitempty"`
 	Short  string  `json:"short,omitempty"`
 	Behind float64 `json:"behind_ms,omitempty"`
-	Pieces int     `json:"pieces,omitempty"`
-	Failed int     `json:"failed,omitempty"`
-	Config uint64  `json:"config,omitempty"`
+	// Pieces is the number of pieces in a call for a stage, and Failed the number
+	// of those that got no result.
+	Pieces int `json:"pieces,omitempty"`
+	Failed int `json:"failed,omitempty"`
+	// Config is the version of the configuration.
+	Config uint64 `json:"config,omitempty"`
 	// Took, Waited, Slack and RetryAfter are in milliseconds.
 	Took       float64  `json:"took_ms,omitempty"`
 	Waited     float64  `json:"waited_ms,omitempty"`
@@ -62,67 +71,70 @@
 	RetryAfter float64  `json:"retry_after_ms,omitempty"`
 }
 
-// Events of gateways that a story is made of.
+// Events of gateways' log lines that determine the outcome of a request.
 const (
 	eventAnswered = "answered"
 	eventStarted  = "started"
 )
 
-// Verdict is what became of a request.
+// Verdict is the outcome of a request as far as the logs prove it.
 type Verdict string
 
-// The verdicts.
+// The outcomes of a request.
 const (
-	// Answered requests got an endpoint's whole answer.
+	// Answered means that the client got an endpoint's complete answer.
 	Answered Verdict = "answered"
-	// Failed requests got an endpoint's own error, whole.
+	// Failed means that the client got a complete error answer from an endpoint.
 	Failed Verdict = "failed at the endpoint"
-	// Refused requests have not run.
+	// Refused means that the request was refused and has not run.
 	Refused Verdict = "refused: it has not run"
-	// CutShort answers ended before they were whole.
+	// CutShort means that the answer ended before it was complete.
 	CutShort Verdict = "cut short"
-	// ClientLeft requests were given up by their client.
+	// ClientLeft means that the client disconnected before the end.
 	ClientLeft Verdict = "given up by its client"
-	// Unknown requests may have run and got no answer.
+	// Unknown means that the request may have run but got no endpoint's answer.
 	Unknown Verdict = "unknown: it may have run"
-	// Lost requests ended with the gateway that held them.
+	// Lost means that the gateway that handled the request restarted before its
+	// end.
 	Lost Verdict = "lost with its gateway: it may have run"
-	// NotFound requests are in no line, which proves nothing.
+	// NotFound means that no line mentions the request. This is no proof that no
+	// gateway received it.
 	NotFound Verdict = "not found in these logs"
-	// Open requests have lines and no end.
-	Open Verdict = "no end in these logs: it is under way, or lines are missing"
+	// Unfinished means that lines mention the request but none reports its end.
+	Unfinished Verdict = "no end in these logs: it is under way, or lines are missing"
 )
 
-// Story is what the logs say of one request.
+// Story is the history of one request in the logs.
 type Story struct {
 	Request string  `json:"request"`
 	Verdict Verdict `json:"verdict"`
-	// Reason is the word of the gateway's last line, if it has one.
+	// Reason is the reason in the line that reports the end; empty without one.
 	Reason string `json:"reason,omitempty"`
-	Lines  []Line `json:"lines"`
-	// Skipped counts lines of the input that are no JSON.
+	// Lines are the lines about the request in the order of their times.
+	Lines []Line `json:"lines"`
+	// Skipped is the number of input lines that are not JSON.
 	Skipped int `json:"skipped,omitempty"`
 }
 
 // Collector gathers the lines of one request from any number of logs.
 type Collector struct {
 	story Story
-	// starts holds the starts of each process.
+	// starts holds the start times of each process.
 	starts map[string][]time.Time
 }
 
-// NewCollector returns a Collector for the request.
+// NewCollector returns a Collector for the request with this ID.
 func NewCollector(request string) *Collector {
 	return &Collector{story: Story{Request: request}, starts: make(map[string][]time.Time)}
 }
 
-// Read takes one log. What stands before the JSON of a line is ignored, as
-// tools that gather logs put times and names there.
+// Read adds the lines of one log. Text before the JSON of a line is ignored,
+// because tools that collect logs put times and names there.
 func (c *Collector) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		c.take(scanner.Bytes())
+		c.addLine(scanner.Bytes())
 	}
 	if err := scanner.Err(); err != nil {
 		return ErrUnreadable.Wrap(err, "read a log")
@@ -130,16 +142,18 @@
 	return nil
 }
 
-func (c *Collector) take(text []byte) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+// addLine adds the line if it is about the request or reports the start of a
+// process.
+func (c *Collector) addLine(text []byte) {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		if len(bytes.TrimSpace(text)) > 0 {
 			c.story.Skipped++
 		}
 		return
 	}
 	var line Line
-	if err := json.Unmarshal(text[at:], &line); err != nil {
+	if err := json.Unmarshal(text[start:], &line); err != nil {
 		c.story.Skipped++
 		return
 	}
@@ -152,18 +166,20 @@
 	}
 }
 
-// Story returns what was gathered, with the verdict. Lines are in the order of
-// their times; the clocks of processes may differ by some milliseconds.
+// Story returns the collected lines with the outcome of the request. Lines are
+// in the order of their times; the clocks of processes may differ by some
+// milliseconds.
 func (c *Collector) Story() Story {
 	s := c.story
 	sort.SliceStable(s.Lines, func(i, j int) bool { return s.Lines[i].Time.Before(s.Lines[j].Time) })
-	s.Verdict, s.Reason = c.judge(s.Lines)
+	s.Verdict, s.Reason = c.classify(s.Lines)
 	return s
 }
 
-// judge goes by the last line on the request's end. Without one, a later start
-// of the process that held the request tells that it was lost with it.
-func (c *Collector) judge(lines []Line) (Verdict, string) {
+// classify derives the outcome and its reason from the last line that reports
+// the end of the request. If there is none, a later start of a process that
+// handled the request proves that the request was lost with that process.
+func (c *Collector) classify(lines []Line) (Verdict, string) {
 	if len(lines) == 0 {
 		return NotFound, ""
 	}
@@ -177,9 +193,10 @@
 			return Lost, ""
 		}
 	}
-	return Open, ""
+	return Unfinished, ""
 }
 
+// startedAfter reports whether the process was started after at.
 func (c *Collector) startedAfter(process string, at time.Time) bool {
 	for _, start := range c.starts[process] {
 		if start.After(at) {
@@ -189,13 +206,14 @@
 	return false
 }
 
-// Reasons of a gateway's last line that are answers of an endpoint.
+// Reasons in the line on a request's end that mean that an endpoint answered.
 const (
 	reasonRelayed       = "relayed"
 	reasonEndpointError = "endpoint_error"
 	reasonBrokenOff     = "broken_off"
 )
 
+// verdict returns the outcome that a line on a request's end reports.
 func (l *Line) verdict() Verdict {
 	switch {
 	case l.Reason == reasonRelayed:
--- a/reqlog/reqlog_test.go
+++ b/reqlog/reqlog_test.go
@@ -25,8 +25,8 @@
 	stranger = `{"process":"g1","event":"answered","request":"b","status":200,"reason":"relayed","time":"2026-01-02T03:04:06Z"}`
 )
 
-// A user complains and support has the request's ID and the logs of all
-// processes. What the logs prove must be said, and no more.
+// The outcome reported for a request must be what the logs of all processes
+// prove, and no more: an operator who investigates a complaint has nothing else.
 func TestVerdict(t *testing.T) {
 	tests := map[string]struct {
 		logs   []string
@@ -40,8 +40,8 @@
 		"cut stream":                {[]string{granted, sent, broken}, reqlog.CutShort, "broken_off"},
 		"client left":               {[]string{granted, sent, left}, reqlog.ClientLeft, "broken_off"},
 		"gateway killed":            {[]string{earlier, granted, sent, restart}, reqlog.Lost, ""},
-		"queue's owner killed":      {[]string{call, granted, sent, other}, reqlog.Open, ""},
-		"under way":                 {[]string{earlier, granted, sent}, reqlog.Open, ""},
+		"queue's owner killed":      {[]string{call, granted, sent, other}, reqlog.Unfinished, ""},
+		"under way":                 {[]string{earlier, granted, sent}, reqlog.Unfinished, ""},
 		"only others":               {[]string{stranger}, reqlog.NotFound, ""},
 		"end before the grant line": {[]string{relayed, sent, granted}, reqlog.Answered, "relayed"},
 	}
@@ -57,7 +57,7 @@
 }
 
 // Logs of several processes come from tools that put times and names before
-// the lines, with lines that are not ours in between.
+// the lines. Lines that are not JSON are skipped and counted.
 func TestLinesAreGathered(t *testing.T) {
 	c := reqlog.NewCollector("a")
 	assert.NilError(t, c.Read(strings.NewReader("   0.45 g1 "+relayed+"\npanic: no JSON\n{broken\n\n"+stranger)))
