--- a/finding/finding.go
+++ b/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects what is wrong with an input, each with its place,
-// so that all of it is reported together.
+// Package finding collects the errors in an input, each with its place, so that
+// they can be reported together.
 package finding
 
 import (
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Place is where a finding lies: a file position or the name of a setting.
+// Place is the location of a finding: a position in a file or the name of a
+// setting.
 type Place struct {
 	File   string
 	Line   int
@@ -16,7 +17,7 @@
 	Name string
 }
 
-// String writes file:line:column, or the name.
+// String returns "file:line:column", or Name if there is no position.
 func (p Place) String() string {
 	if p.File == "" && p.Line == 0 {
 		return p.Name
@@ -24,24 +25,24 @@
 	return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column)
 }
 
-// Finding is one thing wrong at one place.
+// Finding is one error at one place.
 type Finding struct {
 	Place   Place
 	Message string
 }
 
-// String writes "place: message".
+// String returns "place: message".
 func (f Finding) String() string { return f.Place.String() + ": " + f.Message }
 
-// List is an error made of findings; an empty one is no error.
+// List is a list of findings that can be returned as an error; see Err.
 type List []Finding
 
-// Add appends a finding.
+// Add appends a finding with a formatted message.
 func (l *List) Add(place Place, format string, args ...any) {
 	*l = append(*l, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
 
-// Error writes one finding a line.
+// Error returns the findings, one per line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
--- a/kernel/bus.go
+++ b/kernel/bus.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// busBuffer is the number of undelivered events a subscriber may fall behind
+// busBuffer is the number of undelivered events that a subscriber may have
 // before publishers wait for it.
 const busBuffer = 1024
 
@@ -21,7 +21,8 @@
 
 // The topics of a process.
 const (
-	// TopicBundle carries a BundleEvent for each offer of a bundle.
+	// TopicBundle carries a BundleEvent for each bundle that is offered to the
+	// process.
 	TopicBundle Topic = "bundle"
 	// TopicMember carries a MemberEvent for each change of the view of VMs.
 	TopicMember Topic = "member"
@@ -31,7 +32,7 @@
 	TopicRecord Topic = "record"
 )
 
-// BundleEvent tells of an offered bundle.
+// BundleEvent reports that a bundle was offered and whether it was adopted.
 type BundleEvent struct {
 	Version uint64 `json:"version"`
 	Hash    string `json:"hash"`
@@ -41,7 +42,7 @@
 	Source  string `json:"source"`
 }
 
-// MemberEvent tells of a change of one VM in this process's view.
+// MemberEvent reports a change of one VM in this process's view.
 type MemberEvent struct {
 	VM       string `json:"vm"`
 	Endpoint string `json:"endpoint,omitempty"`
@@ -50,21 +51,23 @@
 	Reason   string `json:"reason"`
 }
 
-// ViewEvent tells that a gateway knows another configuration or other endpoints.
+// ViewEvent reports that the configuration or the endpoints in a gateway's view
+// have changed.
 type ViewEvent struct {
 	// Revision is the view's number in this process.
 	Revision uint64 `json:"revision"`
 }
 
-// Bus delivers events between the parts of one process, each handler in a
-// goroutine of its own. It carries no stage calls: those need a reply, an
-// order and back pressure that a broadcast does not give.
+// Bus delivers events between the parts of one process and runs each handler in
+// its own goroutine. Stage calls do not use it: they need replies, ordering and
+// backpressure, which a broadcast does not provide.
 type Bus struct {
 	channel *gochannel.GoChannel
 	router  *message.Router
 }
 
-// NewBus returns a bus. Handlers are added before Run.
+// NewBus returns a bus that logs failed deliveries to log. Handlers must be
+// added before Run.
 func NewBus(log zerolog.Logger) (*Bus, error) {
 	adapter := watermillLog{log}
 	channel := gochannel.NewGoChannel(gochannel.Config{OutputChannelBuffer: busBuffer}, adapter)
@@ -76,13 +79,14 @@
 	return &Bus{channel: channel, router: router}, nil
 }
 
-// Handle calls fn for each event of the topic. An event that cannot be
-// decoded is dropped: both ends are in this process, so it is a build error.
+// Handle registers fn to be called for each event of the topic; name identifies
+// the handler. An event that cannot be decoded is dropped: publisher and handler
+// are in the same process, so only a bug in the program can cause it.
 func Handle[E any](b *Bus, name string, topic Topic, fn func(E)) {
 	b.router.AddConsumerHandler(name, string(topic), b.channel, func(msg *message.Message) error {
 		var event E
 		if err := json.Unmarshal(msg.Payload, &event); err != nil {
-			return nil //nolint:nilerr // a retry would fail likewise
+			return nil //nolint:nilerr // a redelivery would fail in the same way
 		}
 		fn(event)
 		return nil
@@ -101,16 +105,16 @@
 // Run delivers events until ctx ends.
 func (b *Bus) Run(ctx context.Context) error { return b.router.Run(ctx) }
 
-// Running is closed once handlers receive events.
+// Running returns a channel that is closed once handlers receive events.
 func (b *Bus) Running() <-chan struct{} { return b.router.Running() }
 
-// Close stops delivery and waits for handlers.
+// Close stops the delivery of events and waits for running handlers.
 func (b *Bus) Close() error { return b.router.Close() }
 
-// logBusError is the event name of the bus's log lines.
+// logBusError is the value of "event" in the bus's log lines.
 const logBusError = "event_bus_error"
 
-// watermillLog passes the library's errors to the process's log.
+// watermillLog passes the errors of the Watermill library to the process's log.
 type watermillLog struct{ log zerolog.Logger }
 
 // Error logs a failed delivery.
@@ -118,16 +122,16 @@
 	l.log.Error().Str("event", logBusError).Err(err).Fields(map[string]any(fields)).Msg(msg)
 }
 
-// Info drops chatter of the library.
+// Info discards the message.
 func (l watermillLog) Info(string, watermill.LogFields) {}
 
-// Debug drops chatter of the library.
+// Debug discards the message.
 func (l watermillLog) Debug(string, watermill.LogFields) {}
 
-// Trace drops chatter of the library.
+// Trace discards the message.
 func (l watermillLog) Trace(string, watermill.LogFields) {}
 
-// With returns a logger that carries fields.
+// With returns a logger that adds fields to each line.
 func (l watermillLog) With(fields watermill.LogFields) watermill.LoggerAdapter {
 	return watermillLog{l.log.With().Fields(map[string]any(fields)).Logger()}
 }
--- a/kernel/module.go
+++ b/kernel/module.go
@@ -1,5 +1,5 @@
-// Package kernel holds the registry of plug-ins, their lifecycle and the
-// event bus between the parts of one process.
+// Package kernel provides the registry of plug-in modules, the interfaces of
+// their lifecycle, and the event bus between the parts of one process.
 package kernel
 
 import (
@@ -23,35 +23,40 @@
 	return string(id[:i])
 }
 
-// Module is a plug-in. New returns a fresh, unprovisioned instance.
+// Module is a plug-in. New returns a new instance that is not yet provisioned.
 type Module struct {
 	ID  ModuleID
 	New func() any
 }
 
-// Provisioner is called with the process's settings before anything starts.
+// Provisioner is implemented by modules that prepare themselves before anything
+// starts.
 type Provisioner interface {
 	Provision() error
 }
 
-// Validator checks a provisioned module.
+// Validator is implemented by modules that check themselves after they have been
+// provisioned.
 type Validator interface {
 	Validate() error
 }
 
-// Starter begins a module's work; it must not block.
+// Starter is implemented by modules that work in the background. Start begins
+// the work and must not block.
 type Starter interface {
 	Start() error
 }
 
-// Stopper ends a module's work and waits for it.
+// Stopper is implemented by modules whose work must be stopped. Stop ends the
+// work and waits until it has ended.
 type Stopper interface {
 	Stop() error
 }
 
 var (
 	errs = errorx.NewNamespace("kernel")
-	// ErrUnknownModule is returned for an ID that nothing registered.
+	// ErrUnknownModule means that no module of the expected type is registered
+	// under an ID.
 	ErrUnknownModule = errs.NewType("unknown_module")
 )
 
@@ -60,8 +65,8 @@
 	modules map[ModuleID]Module
 }{modules: make(map[ModuleID]Module)}
 
-// Register adds a module, usually from an init function. It panics on a
-// duplicate, which is a mistake in the build and not in any input.
+// Register adds a module, usually from an init function. It panics if the ID is
+// already registered, because that is a programming error that no input can cause.
 func Register(m Module) {
 	registry.Lock()
 	defer registry.Unlock()
@@ -71,7 +76,7 @@
 	registry.modules[m.ID] = m
 }
 
-// New returns a fresh instance of the module, provisioned and validated.
+// New returns a new instance of the module, provisioned and validated.
 func New(id ModuleID) (any, error) {
 	registry.RLock()
 	m, ok := registry.modules[id]
@@ -93,7 +98,8 @@
 	return instance, nil
 }
 
-// Load returns a fresh instance of the module as a T.
+// Load returns a new instance of the module as a T. It returns ErrUnknownModule
+// if the instance has another type.
 func Load[T any](id ModuleID) (T, error) {
 	var zero T
 	instance, err := New(id)
@@ -107,7 +113,7 @@
 	return typed, nil
 }
 
-// Modules lists the registered IDs of a namespace, sorted.
+// Modules returns the registered IDs of a namespace in sorted order.
 func Modules(namespace string) []ModuleID {
 	registry.RLock()
 	defer registry.RUnlock()
