--- a/internal/dialer/dialer.go
+++ b/internal/dialer/dialer.go
@@ -1,6 +1,5 @@
-// Package dialer connects over TCP with the time limits that find a peer which
-// has gone silent: a VM without power, behind a partition, or a connection
-// whose bytes are dropped.
+// Package dialer opens TCP connections with timeouts that detect a silent peer:
+// a VM that lost power, a network partition, or a path that drops packets.
 package dialer
 
 import (
@@ -10,20 +9,22 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of Linux, which package
+// syscall does not define.
 const tcpUserTimeout = 18
 
 // Limits are the time limits of a connection.
 type Limits struct {
-	// Dial bounds the opening of the connection.
+	// Dial is the maximum time to open the connection.
 	Dial time.Duration
-	// Unacknowledged ends a connection whose bytes nobody acknowledges.
+	// Unacknowledged is the maximum time that sent bytes may remain
+	// unacknowledged before the connection is closed.
 	Unacknowledged time.Duration
-	// Probe is the interval of probes on a connection on which nothing is sent.
+	// Probe is the interval of keep-alive probes on an idle connection.
 	Probe time.Duration
 }
 
-// DialContext connects to addr.
+// DialContext connects to addr with the limits l.
 func (l Limits) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout: l.Dial,
@@ -38,14 +39,15 @@
 	return d.DialContext(ctx, network, addr)
 }
 
+// control sets TCP_USER_TIMEOUT on a new socket.
 func (l Limits) control(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := c.Control(func(fd uintptr) {
 		ms := int(l.Unacknowledged.Milliseconds())
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, ms)
+		optErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, ms)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,4 +1,4 @@
-// Package health judges endpoints by how requests at them ended.
+// Package health tracks the health of endpoints from the outcomes of requests.
 package health
 
 import (
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Rate is a moving share of failed requests. It fades without new evidence, so
-// that an endpoint that is well again is tried again.
+// Rate is a moving average of the share of failed requests. It decays without
+// new outcomes, so that an endpoint that has recovered is tried again.
 type Rate struct {
 	value float64
 	at    time.Time
 }
 
-// Learn takes one outcome; weight is its share in the rate.
+// Learn adds the outcome of one request; weight, from 0 to 1, is its share in
+// the new rate.
 func (r *Rate) Learn(failed bool, weight float64, halfLife time.Duration, now time.Time) {
 	outcome := 0.0
 	if failed {
@@ -24,7 +25,8 @@
 	r.at = now
 }
 
-// At is the rate at now; it halves with each halfLife since the last outcome.
+// At returns the rate at now: the rate after the last outcome, halved with each
+// halfLife since.
 func (r *Rate) At(halfLife time.Duration, now time.Time) float64 {
 	if r.value == 0 {
 		return 0
@@ -32,27 +34,30 @@
 	return r.value * math.Exp2(-now.Sub(r.at).Seconds()/halfLife.Seconds())
 }
 
-// maxDoublings keeps a pause from overflowing.
+// maxDoublings limits the exponent, so that the duration of a pause does not
+// overflow.
 const maxDoublings = 5
 
-// Pause keeps an endpoint that does not answer from getting more requests; it
-// doubles with each failure in a row.
+// Pause is an exponential backoff: an endpoint that fails gets no requests for a
+// while, which doubles with each consecutive failure.
 type Pause struct {
+	// failures is the number of consecutive failures.
 	failures int
 	until    time.Time
 }
 
-// Fail pauses for first, doubled for each failure before in a row, at most for most.
+// Fail begins a pause after a failure. Its duration is first, doubled for each
+// consecutive failure before this one, up to most.
 func (p *Pause) Fail(first, most time.Duration, now time.Time) {
 	p.until = now.Add(min(most, first<<min(p.failures, maxDoublings)))
 	p.failures++
 }
 
-// Hold pauses for d, whatever failed before.
+// Hold begins a pause of d, independent of the number of failures.
 func (p *Pause) Hold(d time.Duration, now time.Time) { p.until = now.Add(d) }
 
-// Clear forgets the failures; a pause under way ends by itself.
+// Clear resets the number of failures; it does not end a pause that has begun.
 func (p *Pause) Clear() { p.failures = 0 }
 
-// Active tells whether the pause is under way.
+// Active reports whether a pause is in effect at now.
 func (p *Pause) Active(now time.Time) bool { return now.Before(p.until) }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -21,8 +21,8 @@
 	assert.Equal(t, r.At(time.Second, epoch), 0.75)
 	r.Learn(false, 0.5, time.Second, epoch)
 	assert.Equal(t, r.At(time.Second, epoch), 0.375)
-	faded := r.At(time.Second, epoch.Add(time.Second))
-	assert.Assert(t, math.Abs(faded-0.1875) < 1e-9, "%v", faded)
+	decayed := r.At(time.Second, epoch.Add(time.Second))
+	assert.Assert(t, math.Abs(decayed-0.1875) < 1e-9, "%v", decayed)
 }
 
 func TestPause(t *testing.T) {
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,5 +1,5 @@
 // Package keepalive closes the idle connections of an HTTP server without
-// losing a request.
+// losing requests.
 package keepalive
 
 import (
@@ -10,15 +10,15 @@
 	"sync/atomic"
 )
 
-// Conns are the connections of one server.
+// Conns tracks the connections of one server.
 //
-// The failure that they guard against: http.Server notes that a connection is
-// in use only when it has read and parsed a request. A connection that it
-// closes as idle before, at a planned stop, takes the request along: the
-// handler runs and the client gets nothing. Conns note it as soon as a byte has
-// been read, under the lock under which idle connections are closed, and once
-// more before the handler runs: a request that was read ahead, with the one
-// before it, is not read again.
+// It guards against a race in http.Server, which marks a connection as active
+// only after it has read and parsed a request. If it closes the connection as
+// idle before that, at a planned stop, the handler runs the request but the
+// client gets no answer. Conns marks a connection as in use as soon as a byte
+// has been read, under the lock under which idle connections are closed. It does
+// so again before the handler runs, because a pipelined request may already have
+// been read together with the previous one and causes no further read.
 type Conns struct {
 	mu   sync.Mutex
 	open map[*conn]struct{}
@@ -28,46 +28,50 @@
 type conn struct {
 	net.Conn
 	conns *Conns
-	// requests counts the requests on the connection.
+	// requests is the number of requests so far on the connection.
 	requests atomic.Int64
 
 	mu sync.Mutex
-	// idle is set while no byte of a request has been read that has no answer.
-	idle   bool
+	// idle is true while every request of which a byte has been read has been
+	// answered.
+	idle bool
+	// closed is true once closeIfIdle has closed the connection.
 	closed bool
 }
 
-// connKey is the context key of a client's connection.
+// connKey is the context key under which a request finds its connection.
 type connKey struct{}
 
-// Attach makes the connections of a server known, which must not have begun to
-// serve. It takes the server's ConnState and ConnContext, and wraps its Handler.
+// Attach makes the returned Conns track the connections of server, which must
+// not have begun to serve. It replaces the server's ConnState and ConnContext
+// and wraps its Handler. The server must serve the listener that
+// Conns.Listener returns.
 func Attach(server *http.Server) *Conns {
 	c := &Conns{open: make(map[*conn]struct{})}
 	server.ConnState = func(nc net.Conn, state http.ConnState) {
 		if conn, ok := nc.(*conn); ok && state == http.StateIdle {
-			conn.becomeIdle()
+			conn.markIdle()
 		}
 	}
 	server.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, nc)
 	}
-	server.Handler = begun(server.Handler)
+	server.Handler = rejectClosed(server.Handler)
 	return c
 }
 
-// begun runs no request whose connection was closed as idle meanwhile: nobody
-// would get its answer.
-func begun(next http.Handler) http.Handler {
+// rejectClosed aborts a request whose connection has been closed as idle, before
+// next runs it: its answer could not be delivered.
+func rejectClosed(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if conn, ok := r.Context().Value(connKey{}).(*conn); ok && !conn.begin() {
+		if conn, ok := r.Context().Value(connKey{}).(*conn); ok && !conn.beginRequest() {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Earlier returns how many requests came before that of the context on its
+// Earlier returns the number of requests that preceded the request of ctx on its
 // connection; 0 on servers that are not attached.
 func Earlier(ctx context.Context) int64 {
 	conn, ok := ctx.Value(connKey{}).(*conn)
@@ -77,11 +81,12 @@
 	return conn.requests.Load() - 1
 }
 
-// Listener returns what the server has to serve in place of l.
+// Listener wraps l; the server must serve the returned listener.
 func (c *Conns) Listener(l net.Listener) net.Listener { return &listener{Listener: l, conns: c} }
 
-// CloseIdle closes the connections on which no request is under way. A request
-// that is on its way is not read any more: its client sees that nobody did.
+// CloseIdle closes the connections on which no request is in progress. A request
+// that the client has sent but of which nothing has been read is never read, and
+// its client sees the connection close without an answer.
 func (c *Conns) CloseIdle() {
 	c.mu.Lock()
 	open := make([]*conn, 0, len(c.open))
@@ -94,11 +99,13 @@
 	}
 }
 
+// listener wraps each accepted connection in a conn.
 type listener struct {
 	net.Listener
 	conns *Conns
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
@@ -111,8 +118,8 @@
 	return conn, nil
 }
 
-// Read fails on a connection that was closed meanwhile, also with bytes that
-// had come before: nobody may run a request that cannot be answered any more.
+// Read fails on a connection that closeIfIdle has closed, even if it has read
+// bytes that arrived before: a request that cannot be answered must not run.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
@@ -126,17 +133,18 @@
 	return n, err
 }
 
-// CloseWrite ends the server's side of the connection. net/http asks for it
-// before it closes a connection with unread bytes, so that the client still
-// gets its answer before the reset.
+// CloseWrite closes the writing side of the connection. net/http calls it before
+// it closes a connection with unread bytes, so that the client receives the
+// answer before the reset.
 func (c *conn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if inner, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return inner.CloseWrite()
 	}
 	return nil
 }
 
-// Close is called by the server, with no request under way.
+// Close closes the connection and stops tracking it. The server calls it when no
+// request is in progress.
 func (c *conn) Close() error {
 	c.conns.mu.Lock()
 	delete(c.conns.open, c)
@@ -144,9 +152,9 @@
 	return c.Conn.Close()
 }
 
-// begin notes that a request of the connection is under way; it is false if the
-// connection was closed before.
-func (c *conn) begin() bool {
+// beginRequest counts a request and marks the connection as in use. It returns
+// false if closeIfIdle has already closed the connection.
+func (c *conn) beginRequest() bool {
 	c.requests.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,19 +162,21 @@
 	return !c.closed
 }
 
-func (c *conn) becomeIdle() {
+// markIdle marks the connection as idle after an answer.
+func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = true
 }
 
+// closeIfIdle closes the connection if it is idle.
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	idle := c.idle && !c.closed
 	c.closed = c.closed || idle
 	c.mu.Unlock()
 	if idle {
-		// The server finds out at its next read and forgets the connection.
+		// The server's next read fails, after which it calls Close.
 		_ = c.Conn.Close()
 	}
 }
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -18,17 +18,18 @@
 	"github.com/mangostage/mangostage/internal/testwait"
 )
 
-// patience bounds each wait of these tests.
-const patience = 10 * time.Second
+// waitTimeout is the timeout of each wait in these tests.
+const waitTimeout = 10 * time.Second
 
-// server is an HTTP server that notes which requests its handler got.
+// server is an HTTP server that records which requests reached its handler.
 type server struct {
-	conns   *keepalive.Conns
-	addr    string
+	conns *keepalive.Conns
+	addr  string
+	// handled holds the IDs of the requests that reached the handler.
 	handled sync.Map
 }
 
-// start starts a server that answers at once.
+// start starts a server that answers immediately.
 func start(t *testing.T) *server {
 	t.Helper()
 	s := &server{}
@@ -41,7 +42,7 @@
 
 func (s *server) serve(t *testing.T, handler http.HandlerFunc) {
 	t.Helper()
-	h := &http.Server{ReadHeaderTimeout: patience, Handler: handler}
+	h := &http.Server{ReadHeaderTimeout: waitTimeout, Handler: handler}
 	s.conns = keepalive.Attach(h)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -50,7 +51,7 @@
 	t.Cleanup(func() { _ = h.Close() })
 }
 
-// client is one connection.
+// client is one client connection.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -61,11 +62,11 @@
 	conn, err := net.Dial("tcp", s.addr)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	return &client{Conn: conn, in: bufio.NewReader(conn)}
 }
 
-// ask sends a request and tells whether it was answered.
+// ask sends a request and reports whether it was answered.
 func (c *client) ask(id string) bool {
 	if _, err := fmt.Fprintf(c, "GET / HTTP/1.1\r\nHost: a\r\nId: %s\r\n\r\n", id); err != nil {
 		return false
@@ -77,11 +78,11 @@
 	return resp.Body.Close() == nil
 }
 
-// A client uses an old connection at the moment at which a stopping server
-// closes idle ones. The server has read the request, but has not noted yet that
-// the connection is in use: it closes it and runs the request all the same, and
-// the client gets nothing. Whatever the order, a request that is not answered
-// must not have reached the handler.
+// A client sends a request on a kept connection while a stopping server closes
+// idle ones. If the server has read the request but not yet marked the connection
+// as in use, it closes the connection and still runs the request, and the client
+// gets no answer. In every interleaving, a request without an answer must not
+// have reached the handler.
 func TestRequestThatCrossesTheClose(t *testing.T) {
 	const rounds, clients = 60, 32
 	const step = 20 * time.Microsecond
@@ -108,7 +109,7 @@
 		<-time.After(time.Duration(round%clients) * step)
 		s.conns.CloseIdle()
 		asking.Wait()
-		// Only when the server has ended is it sure what has run.
+		// Only after the server has ended is it certain which requests ran.
 		defer func() {
 			for _, id := range unanswered {
 				_, ran := s.handled.Load(id)
@@ -118,7 +119,7 @@
 	}
 }
 
-// closed tells whether the server has closed the connection.
+// closed reports whether the server has closed the connection.
 func (c *client) closed(t *testing.T) bool {
 	t.Helper()
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(time.Millisecond)))
@@ -130,21 +131,21 @@
 	s := start(t)
 	used, fresh := s.dial(t), s.dial(t)
 	assert.Assert(t, used.ask("1"))
-	testwait.For(t, patience, func() bool {
+	testwait.For(t, waitTimeout, func() bool {
 		s.conns.CloseIdle()
 		return used.closed(t) && fresh.closed(t)
 	})
 	assert.Assert(t, s.dial(t).ask("2"), "a new connection is served")
 }
 
-// A request is being served while idle connections are closed.
+// CloseIdle must not close a connection whose request is being served.
 func TestCloseIdleLeavesWhatIsInUse(t *testing.T) {
-	began, goOn := make(chan struct{}), make(chan struct{})
+	began, release := make(chan struct{}), make(chan struct{})
 	var s server
 	s.serve(t, func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, keepalive.Earlier(r.Context()) == 0)
 		close(began)
-		<-goOn
+		<-release
 		_, _ = fmt.Fprint(w, "ok")
 	})
 	c := s.dial(t)
@@ -152,21 +153,21 @@
 	go func() { answered <- c.ask("1") }()
 	<-began
 	s.conns.CloseIdle()
-	close(goOn)
+	close(release)
 	assert.Assert(t, <-answered)
 }
 
-// A client sends its second request right behind the first, in one packet. The
-// server has both in its buffer and reads nothing more, so that the connection
-// counts as idle while the second runs, and a planned stop closes it: the client
-// gets half of its answers.
+// A client pipelines two requests in one packet. The server has both in its
+// buffer and reads nothing more, so without the check before the handler the
+// connection counted as idle while the second request ran. A planned stop then
+// closed it, and the client got only one of its two answers.
 func TestCloseIdleLeavesWhatWasReadAhead(t *testing.T) {
-	began, goOn := make(chan struct{}), make(chan struct{})
+	began, release := make(chan struct{}), make(chan struct{})
 	var s server
 	s.serve(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Id") == "2" {
 			close(began)
-			<-goOn
+			<-release
 		}
 		_, _ = fmt.Fprint(w, "ok")
 	})
@@ -175,7 +176,7 @@
 	assert.NilError(t, err)
 	<-began
 	s.conns.CloseIdle()
-	close(goOn)
+	close(release)
 	for range 2 {
 		resp, err := http.ReadResponse(c.in, nil)
 		assert.NilError(t, err)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,4 +1,4 @@
-// Package logsink writes log lines without ever making their writer wait.
+// Package logsink writes log lines without blocking the goroutines that log them.
 package logsink
 
 import (
@@ -9,33 +9,33 @@
 )
 
 const (
-	// queueLength is how many lines may wait for a slow reader: about a
-	// second of lines at the rate limit.
+	// queueLength is the number of lines that may wait for a slow reader: about
+	// one second of lines at the rate limit.
 	queueLength = 512
-	// batchBytes is the most that is written at once; one system call for
-	// many lines costs a fraction of the processor time.
+	// batchBytes is the size from which a batch of lines is written at once. One
+	// system call for many lines costs a fraction of the processor time.
 	batchBytes = 16 << 10
-	// linger is how long a line may wait for others to be written with.
+	// linger is how long a line waits for further lines of its batch.
 	linger = 50 * time.Millisecond
 )
 
-// Sink is a writer of lines that drops them rather than wait.
+// Sink is a writer of log lines that drops lines instead of blocking.
 //
-// The failure that it guards against: the reader of standard output stands
-// still, the pipe fills up, and every request of the process hangs in its log
-// line. Lines beyond the queue are dropped and counted instead.
+// It guards against a reader of standard output that stalls: the pipe fills up,
+// and every request of the process blocks in its log call. Sink drops and counts
+// the lines that do not fit into its queue instead.
 type Sink struct {
 	out     io.Writer
 	queue   chan []byte
 	dropped atomic.Int64
-	// closing is closed by Close. The queue itself stays open: goroutines that
-	// end after the sink still write to it, which would be a panic.
+	// closing is closed by Close. The queue itself is never closed, because
+	// goroutines that outlive the sink still write to it and would panic.
 	closing chan struct{}
 	done    chan struct{}
 	once    sync.Once
 }
 
-// New returns a sink to out.
+// New returns a sink that writes to out.
 func New(out io.Writer) *Sink {
 	s := &Sink{out: out, queue: make(chan []byte, queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
@@ -53,10 +53,11 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines that were dropped.
+// Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what is queued and waits for it, for at most timeout.
+// Close makes the sink write the queued lines and stop, and waits for that for
+// at most timeout.
 func (s *Sink) Close(timeout time.Duration) {
 	s.once.Do(func() { close(s.closing) })
 	select {
@@ -65,6 +66,7 @@
 	}
 }
 
+// run writes lines until the sink is closing and the queue is empty.
 func (s *Sink) run() {
 	defer close(s.done)
 	for {
@@ -83,11 +85,12 @@
 	}
 }
 
-// write writes the line and those that come within linger. A reader that is
-// gone is no reason to stop: lines are then lost.
+// write writes line together with those that arrive within linger. Errors are
+// ignored: if the reader is gone, the lines are lost and the process continues.
 func (s *Sink) write(line []byte) { _, _ = s.out.Write(s.collect(line)) }
 
-// collect adds the lines that come within linger.
+// collect appends the lines that arrive within linger to batch, until it has
+// batchBytes or the sink is closing.
 func (s *Sink) collect(batch []byte) []byte {
 	timer := time.NewTimer(linger)
 	defer timer.Stop()
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -13,9 +13,10 @@
 	"github.com/mangostage/mangostage/internal/logsink"
 )
 
-const patience = 10 * time.Second
+// waitTimeout is the timeout of each wait in these tests.
+const waitTimeout = 10 * time.Second
 
-// lockedBuffer is a buffer that a test reads while the sink writes.
+// lockedBuffer is a buffer that a test can read while the sink writes to it.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -43,13 +44,13 @@
 		_, err := io.WriteString(s, line)
 		assert.NilError(t, err)
 	}
-	s.Close(patience)
+	s.Close(waitTimeout)
 	assert.Equal(t, out.String(), want)
 	assert.Equal(t, s.Dropped(), int64(0))
 }
 
-// The reader of standard output stands still. Every request of the process
-// hung in its log line; lines must be dropped and counted instead.
+// When the reader of standard output stalls, lines must be dropped and counted.
+// Otherwise every request of the process blocks in its log call.
 func TestBlockedReaderBlocksNothing(t *testing.T) {
 	reader, writer := io.Pipe()
 	t.Cleanup(func() { _ = reader.Close() })
@@ -63,19 +64,19 @@
 	}()
 	select {
 	case <-written:
-	case <-time.After(patience):
-		t.Fatal("a line was waited for")
+	case <-time.After(waitTimeout):
+		t.Fatal("a write blocked")
 	}
 	assert.Assert(t, s.Dropped() > 0)
 	s.Close(10 * time.Millisecond)
 }
 
-// A goroutine writes its last line after the process has closed the sink on its
-// planned stop: the process panicked, and ended with code 2.
+// A goroutine writes its last line after a planned stop has closed the sink. The
+// write must not panic, which ended the process with code 2.
 func TestWriteAfterClose(t *testing.T) {
 	var out lockedBuffer
 	s := logsink.New(&out)
-	s.Close(patience)
+	s.Close(waitTimeout)
 	_, err := io.WriteString(s, "late\n")
 	assert.NilError(t, err)
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics reads what gateways say of themselves under /metrics.
+// Package metrics reads the metrics that gateways serve under /metrics.
 package metrics
 
 import (
@@ -16,13 +16,14 @@
 )
 
 const (
-	// timeout bounds one look at a gateway, which answers in milliseconds.
+	// timeout is the maximum duration of one read; gateways answer within
+	// milliseconds.
 	timeout = 2 * time.Second
-	// maxBytes bounds the metrics of one gateway.
+	// maxBytes is the maximum size of one gateway's metrics.
 	maxBytes = 16 << 20
 )
 
-// Gateway is what one gateway says of itself.
+// Gateway holds the metrics of one gateway.
 type Gateway struct {
 	Ownership    fleet.Ownership              `json:"ownership"`
 	FleetSize    int                          `json:"fleet_size"`
@@ -32,12 +33,13 @@
 	Latency      map[string]gateway.Quantiles `json:"latency_ms"`
 	Queues       dispatch.Stats               `json:"queues"`
 	Endpoints    []balance.Stats              `json:"endpoints"`
-	// Evacuated holds the failure domains that get no work.
+	// Evacuated holds the failure domains that are evacuated and get no work.
 	Evacuated    map[string]uint64 `json:"evacuated_domains"`
 	LinesDropped uint64            `json:"log_lines_dropped"`
 }
 
-// Read asks the gateway whose metrics are at addr, "host:port".
+// Read reads the metrics that the gateway serves at addr, "host:port", into the
+// value that into points to.
 func Read(ctx context.Context, addr string, into *Gateway) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,6 +1,6 @@
-// Package pause notices that this process stood still, as when it was stopped
-// by a signal or its VM was suspended, so that it can deal with that before it
-// acts on what it knew.
+// Package pause detects that this process was paused, for example by a signal or
+// because its VM was suspended, so that the process can handle the pause before
+// it acts on outdated state.
 package pause
 
 import (
@@ -10,65 +10,66 @@
 )
 
 const (
-	// TickEvery is how often Tick is to be called.
+	// TickEvery is the interval at which Tick must be called.
 	TickEvery = 100 * time.Millisecond
-	// Limit is the longest time between two ticks that is not a pause: ten
-	// ticks, since those of a busy VM come late.
+	// Limit is the longest time between two ticks that does not count as a pause.
+	// It is ten intervals because ticks are late on a busy VM.
 	Limit = time.Second
 )
 
-// Watch notices pauses by gaps between the ticks of a process that runs.
+// Watch detects pauses as gaps between the ticks of a running process.
 //
-// On waking everything that a process believes may be out of date, messages that
-// waited in socket buffers look new, and its connections may be dead. The first
-// tick may come after the first step that relies on them. Therefore each such
-// step asks first, and the time of a tick is noted only when the pause that it
-// found has been dealt with: from the moment of the wake until then the process
-// counts as stalled.
+// After a pause, all state of a process may be out of date, messages that waited
+// in socket buffers look new, and its connections may be dead. The process may
+// use any of these before its first tick after the pause. Therefore each such use
+// first calls Stalled or Check, and the time of a tick is stored only after the
+// pause that it found has been handled: until then the process counts as stalled.
 type Watch struct {
-	now  func() time.Time
-	deal func(gap time.Duration)
-	// mu is held while a pause is dealt with.
-	mu   sync.Mutex
-	last atomic.Pointer[time.Time]
+	now     func() time.Time
+	onPause func(gap time.Duration)
+	// mu is held while a pause is handled.
+	mu sync.Mutex
+	// lastTick is the time of the last completed tick; nil before the first.
+	lastTick atomic.Pointer[time.Time]
 }
 
-// NewWatch returns a Watch that begins with its first tick. Deal is called once
-// for each pause; it must neither block for as long as Limit nor call the Watch.
-func NewWatch(now func() time.Time, deal func(gap time.Duration)) *Watch {
-	return &Watch{now: now, deal: deal}
+// NewWatch returns a Watch that detects pauses after its first tick. onPause is
+// called once for each pause with the time since the last tick; it must neither
+// block for as long as Limit nor call the Watch.
+func NewWatch(now func() time.Time, onPause func(gap time.Duration)) *Watch {
+	return &Watch{now: now, onPause: onPause}
 }
 
-// Tick deals with a pause if there was one since the last tick.
+// Tick handles the pause, if any, since the last tick.
 func (w *Watch) Tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The tick counts from its beginning, so that a second pause, while the
-	// first is dealt with, shows at the next.
+	// The tick is dated to its beginning, so that a second pause, during the
+	// handling of the first, is detected at the next tick.
 	now := w.now()
 	if gap := w.gap(now); gap > Limit {
-		w.deal(gap)
+		w.onPause(gap)
 	}
-	w.last.Store(&now)
+	w.lastTick.Store(&now)
 }
 
-// Stalled tells whether the process was paused and has not dealt with it yet. It
-// takes no lock: an atomic load and a look at the clock.
+// Stalled reports whether the process was paused and has not yet handled the
+// pause. It takes no lock and costs only an atomic load and a clock reading.
 func (w *Watch) Stalled() bool { return w.gap(w.now()) > Limit }
 
-// Check returns once no pause is left to be dealt with; unless there was one
-// that is at once.
+// Check handles a pause that has not been handled yet, or waits for a Tick that
+// is handling it. Without one it returns immediately.
 func (w *Watch) Check() {
 	if w.Stalled() {
 		w.Tick()
 	}
 }
 
-// gap is the time since the last tick. The wall clock counts too: the monotonic
-// clock stands still while a whole VM is suspended. A step of the wall clock
-// looks like a pause and costs no more than one.
+// gap returns the time since the last tick; 0 before the first. It also compares
+// wall clock times, because the monotonic clock stops while the VM is suspended.
+// A step of the wall clock looks like a pause and costs no more than one.
 func (w *Watch) gap(now time.Time) time.Duration {
-	last := w.last.Load()
+	last := w.lastTick.Load()
 	if last == nil {
 		return 0
 	}
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -10,7 +10,7 @@
 	"github.com/mangostage/mangostage/internal/pause"
 )
 
-// clock is a clock that a test moves.
+// clock is a clock that a test advances.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -22,7 +22,7 @@
 	return c.now
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
@@ -30,21 +30,22 @@
 
 func newClock() *clock { return &clock{now: time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)} }
 
-// A process is frozen between two ticks and asked to send before the next. It
-// has to deal with the pause first, once, and ordinary gaps are no pause.
+// A process that is paused between two ticks and then has to send before the
+// next tick must handle the pause first, and only once. Gaps up to Limit are not
+// pauses.
 func TestCheckDealsWithAPauseBeforeTheNextTick(t *testing.T) {
 	c := newClock()
 	var gaps []time.Duration
 	w := pause.NewWatch(c.read, func(gap time.Duration) { gaps = append(gaps, gap) })
 	w.Check()
 	w.Tick()
-	c.pass(pause.Limit)
+	c.advance(pause.Limit)
 	w.Check()
 	assert.Assert(t, !w.Stalled())
 	w.Tick()
 	assert.Equal(t, len(gaps), 0)
 
-	c.pass(pause.Limit + time.Millisecond)
+	c.advance(pause.Limit + time.Millisecond)
 	assert.Assert(t, w.Stalled())
 	w.Check()
 	assert.DeepEqual(t, gaps, []time.Duration{pause.Limit + time.Millisecond})
@@ -54,20 +55,20 @@
 	assert.Equal(t, len(gaps), 1)
 }
 
-// While a tick deals with a pause, others that ask have to wait for it. If the
-// pause counted as dealt with from its beginning, they would send over the
-// connections that are about to be dropped.
+// While a tick handles a pause, other callers of Check must wait for it. If the
+// pause counted as handled as soon as its handling begins, they would send over
+// the connections that are about to be closed.
 func TestAPauseLastsUntilItIsDealtWith(t *testing.T) {
 	c := newClock()
-	dealing, done := make(chan struct{}), make(chan struct{})
+	handling, done := make(chan struct{}), make(chan struct{})
 	w := pause.NewWatch(c.read, func(time.Duration) {
-		close(dealing)
+		close(handling)
 		<-done
 	})
 	w.Tick()
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	go w.Tick()
-	<-dealing
+	<-handling
 	assert.Assert(t, w.Stalled())
 	checked := make(chan struct{})
 	go func() {
@@ -76,7 +77,7 @@
 	}()
 	select {
 	case <-checked:
-		t.Fatal("checked before the pause was dealt with")
+		t.Fatal("Check returned before the pause was handled")
 	default:
 	}
 	close(done)
@@ -84,26 +85,28 @@
 	assert.Assert(t, !w.Stalled())
 }
 
-// A second pause, while the first is dealt with, makes that stale as well.
+// A second pause during the handling of the first must be detected and handled
+// too.
 func TestASecondPauseMeanwhileShows(t *testing.T) {
 	c := newClock()
-	dealt := 0
+	handled := 0
 	w := pause.NewWatch(c.read, func(time.Duration) {
-		if dealt++; dealt == 1 {
-			c.pass(time.Minute)
+		if handled++; handled == 1 {
+			c.advance(time.Minute)
 		}
 	})
 	w.Tick()
-	c.pass(time.Minute)
+	c.advance(time.Minute)
 	w.Check()
 	assert.Assert(t, w.Stalled())
 	w.Check()
-	assert.Equal(t, dealt, 2)
+	assert.Equal(t, handled, 2)
 	assert.Assert(t, !w.Stalled())
 }
 
-// A suspended VM's monotonic clock stands still; only the wall clock tells of
-// the time. Both ways the whole gap is seen.
+// The monotonic clock of a suspended VM stops and only its wall clock shows the
+// time that passed. For a stopped process both advance. Either way the whole gap
+// must be detected.
 func TestGapSeesSuspendedVM(t *testing.T) {
 	start := time.Now()
 	for name, woke := range map[string]time.Time{
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time that a context can cut short.
+// Package sleep provides a sleep that ends early when its context does.
 package sleep
 
 import (
--- a/internal/socket/closed_linux.go
+++ b/internal/socket/closed_linux.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// ClosedByPeer tells whether the end of the connection has arrived, read or not,
-// or the socket is closed.
+// ClosedByPeer reports whether the peer has closed its side of the connection,
+// even if received data has not been read yet, or the socket is in an error
+// state or closed.
 func ClosedByPeer(conn syscall.RawConn) bool {
 	closed := false
 	err := conn.Control(func(fd uintptr) {
--- a/internal/socket/closed_other.go
+++ b/internal/socket/closed_other.go
@@ -4,5 +4,6 @@
 
 import "syscall"
 
-// ClosedByPeer is known on Linux only; elsewhere the reader finds the end.
+// ClosedByPeer always returns false: only Linux supports the check. On other
+// systems the close is detected by reading.
 func ClosedByPeer(syscall.RawConn) bool { return false }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket asks the socket below a connection what reading it would tell
-// only later.
+// Package socket inspects the socket of a connection for events that reading
+// from the connection would report only later.
 package socket
 
 import (
@@ -8,18 +8,19 @@
 	"syscall"
 )
 
-// Raw returns the socket below a connection, also below TLS; nil if there is none.
+// Raw returns the socket of a plain or TLS connection; nil if it has none or is
+// closed.
 func Raw(conn net.Conn) syscall.RawConn {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
-	below, ok := conn.(syscall.Conn)
+	inner, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := below.SyscallConn()
+	raw, err := inner.SyscallConn()
 	if err != nil {
-		// The socket is closed: the first write says so.
+		// The socket is closed; the first write reports it.
 		return nil
 	}
 	return raw
--- a/internal/sumtree/sumtree.go
+++ b/internal/sumtree/sumtree.go
@@ -1,6 +1,6 @@
-// Package sumtree keeps amounts in the order of a time and sums up those up to
-// any time. Each operation takes a time that grows with the logarithm of the
-// number of amounts.
+// Package sumtree keeps amounts ordered by time and computes the sum of those up
+// to a given time. Each operation takes expected time logarithmic in the number
+// of amounts.
 package sumtree
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Amount is what is summed up.
+// Amount is a number of pieces and of bytes.
 type Amount struct {
 	Pieces int
 	Bytes  int64
@@ -19,7 +19,8 @@
 	return Amount{Pieces: a.Pieces + b.Pieces, Bytes: a.Bytes + b.Bytes}
 }
 
-// Key orders amounts by time; ID tells those of one time apart.
+// Key identifies an amount. Keys are ordered by time, and keys with the same time
+// by ID.
 type Key struct {
 	At time.Time
 	ID uint64
@@ -38,14 +39,14 @@
 type node struct {
 	key    Key
 	amount Amount
-	// sum is that of the whole subtree.
+	// sum is the sum of the amounts in the subtree of this node.
 	sum Amount
-	// rank is that of no node below.
-	rank        uint64
+	// priority is not greater than that of any descendant.
+	priority    uint64
 	left, right *node
 }
 
-// Set makes the amount of a key the given one; the zero amount takes it out.
+// Set sets the amount of a key; the zero amount removes the key.
 func (t *Tree) Set(key Key, amount Amount) {
 	if amount == (Amount{}) {
 		t.root = t.root.remove(key)
@@ -54,10 +55,10 @@
 	t.root = t.root.set(key, amount)
 }
 
-// Sum is the sum of all amounts.
-func (t *Tree) Sum() Amount { return t.root.total() }
+// Sum returns the sum of all amounts.
+func (t *Tree) Sum() Amount { return t.root.subtreeSum() }
 
-// UpTo is the sum of the amounts of keys that are not after a time.
+// UpTo returns the sum of the amounts whose time is not after at.
 func (t *Tree) UpTo(at time.Time) Amount {
 	var sum Amount
 	for n := t.root; n != nil; {
@@ -65,44 +66,44 @@
 			n = n.left
 			continue
 		}
-		sum = sum.Plus(n.left.total()).Plus(n.amount)
+		sum = sum.Plus(n.left.subtreeSum()).Plus(n.amount)
 		n = n.right
 	}
 	return sum
 }
 
-func (n *node) total() Amount {
+func (n *node) subtreeSum() Amount {
 	if n == nil {
 		return Amount{}
 	}
 	return n.sum
 }
 
-// summed brings the sum up to date and returns n.
-func (n *node) summed() *node {
-	n.sum = n.left.total().Plus(n.amount).Plus(n.right.total())
+// updateSum recomputes the sum of n from its children and returns n.
+func (n *node) updateSum() *node {
+	n.sum = n.left.subtreeSum().Plus(n.amount).Plus(n.right.subtreeSum())
 	return n
 }
 
 func (n *node) set(key Key, amount Amount) *node {
 	if n == nil {
-		return (&node{key: key, amount: amount, rank: mix(key.ID)}).summed()
+		return (&node{key: key, amount: amount, priority: mixBits(key.ID)}).updateSum()
 	}
 	switch c := key.compare(n.key); {
 	case c < 0:
 		n.left = n.left.set(key, amount)
-		if n.left.rank < n.rank {
+		if n.left.priority < n.priority {
 			return n.rotateRight()
 		}
 	case c > 0:
 		n.right = n.right.set(key, amount)
-		if n.right.rank < n.rank {
+		if n.right.priority < n.priority {
 			return n.rotateLeft()
 		}
 	default:
 		n.amount = amount
 	}
-	return n.summed()
+	return n.updateSum()
 }
 
 func (n *node) remove(key Key) *node {
@@ -117,41 +118,41 @@
 	default:
 		return join(n.left, n.right)
 	}
-	return n.summed()
+	return n.updateSum()
 }
 
-// join puts two trees together, all keys of the first before those of the second.
+// join merges two subtrees; all keys of a must precede those of b.
 func join(a, b *node) *node {
 	switch {
 	case a == nil:
 		return b
 	case b == nil:
 		return a
-	case a.rank < b.rank:
+	case a.priority < b.priority:
 		a.right = join(a.right, b)
-		return a.summed()
+		return a.updateSum()
 	}
 	b.left = join(a, b.left)
-	return b.summed()
+	return b.updateSum()
 }
 
 func (n *node) rotateRight() *node {
 	top := n.left
 	n.left, top.right = top.right, n
-	n.summed()
-	return top.summed()
+	n.updateSum()
+	return top.updateSum()
 }
 
 func (n *node) rotateLeft() *node {
 	top := n.right
 	n.right, top.left = top.left, n
-	n.summed()
-	return top.summed()
+	n.updateSum()
+	return top.updateSum()
 }
 
-// mix spreads the bits of an ID, by the finalizer of SplitMix64: IDs are given in
-// order, and the ranks must not be.
-func mix(h uint64) uint64 {
+// mixBits hashes an ID with the finalizer of SplitMix64. IDs are assigned in
+// ascending order, and the priorities of a treap must look random.
+func mixBits(h uint64) uint64 {
 	h += 0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>27) * 0x94d049bb133111eb
--- a/internal/sumtree/sumtree_test.go
+++ b/internal/sumtree/sumtree_test.go
@@ -10,7 +10,8 @@
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestSumsAsTheNaiveOnes compares the tree with a map that is walked for each sum.
+// TestSumsAsTheNaiveOnes compares the tree with a map that is iterated for each
+// sum.
 func TestSumsAsTheNaiveOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tree Tree
@@ -37,8 +38,8 @@
 	})
 }
 
-// TestDepthStaysSmall guards against a tree that becomes a list where keys come
-// in their order, as the latest starts of jobs do.
+// TestDepthStaysSmall guards against a tree that degenerates to a list when keys
+// are inserted in ascending order, as the latest start times of jobs are.
 func TestDepthStaysSmall(t *testing.T) {
 	const keys, most = 10_000, 60
 	var tree Tree
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,4 +1,4 @@
-// Package testwait lets tests wait for a condition without sleeping for a
+// Package testwait lets tests wait for a condition instead of sleeping for a
 // guessed time.
 package testwait
 
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/poll"
 )
 
-// pollEvery is how often a condition is looked at.
-const pollEvery = 2 * time.Millisecond
+// pollInterval is the interval at which a condition is checked.
+const pollInterval = 2 * time.Millisecond
 
-// For polls until holds is true, and fails the test after patience.
-func For(t testing.TB, patience time.Duration, holds func() bool) {
+// For polls condition until it is true. It fails the test after timeout.
+func For(t testing.TB, timeout time.Duration, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("the condition does not hold")
-	}, poll.WithDelay(pollEvery), poll.WithTimeout(patience))
+	}, poll.WithDelay(pollInterval), poll.WithTimeout(timeout))
 }
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -1,5 +1,5 @@
-// Package watchdog ends an exchange whose other side has gone silent, however
-// long the exchange takes as a whole.
+// Package watchdog cancels an exchange whose other side has stopped sending,
+// independent of the total duration of the exchange.
 package watchdog
 
 import (
@@ -12,36 +12,39 @@
 
 var (
 	errs = errorx.NewNamespace("watchdog")
-	// ErrSilent is the cause of a context that ended because nothing came.
+	// ErrSilent is the cause of a context that was cancelled because nothing was
+	// received for too long.
 	ErrSilent = errs.NewType("silent")
-	// ErrLong is the cause of one whose answer took too long as a whole.
-	ErrLong = errs.NewType("long")
+	// ErrTooLong is the cause of a context that was cancelled because its answer
+	// took too long as a whole.
+	ErrTooLong = errs.NewType("long")
 )
 
-// Watchdog ends its context when nothing has come for the time that it allows.
+// Watchdog cancels its context when it has not been fed for the allowed time.
 type Watchdog struct {
 	timer *time.Timer
-	// whole bounds an answer altogether; nil before Answer.
+	// whole limits the total duration of an answer; nil before Answer is called.
 	whole  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// New returns a context and the watchdog that ends it after allowed, unless it
-// is fed before. Stop releases both.
+// New returns a context and a watchdog that cancels it after allowed unless it
+// is fed before. Stop releases the resources of both.
 func New(parent context.Context, allowed time.Duration) (context.Context, *Watchdog) {
 	ctx, cancel := context.WithCancelCause(parent)
 	timer := time.AfterFunc(allowed, func() { cancel(ErrSilent.New("nothing has come for the time allowed")) })
 	return ctx, &Watchdog{timer: timer, cancel: cancel}
 }
 
-// Feed allows so much time from now on. A context that has ended stays so.
+// Feed restarts the watchdog with the time allowed. It has no effect once the
+// context has been cancelled.
 func (w *Watchdog) Feed(allowed time.Duration) {
 	if w.timer.Stop() {
 		w.timer.Reset(allowed)
 	}
 }
 
-// Stop ends the context; nothing is waited for any more.
+// Stop cancels the context and stops the timers.
 func (w *Watchdog) Stop() {
 	w.timer.Stop()
 	if w.whole != nil {
@@ -50,19 +53,22 @@
 	w.cancel(context.Canceled)
 }
 
-// Answer returns the reader of an answer that has begun: it may be silent for so
-// long, and take so long as a whole.
+// Answer returns a reader of r, the body of an answer that has begun. The context
+// is cancelled if no byte arrives for the time silence, or if the answer takes
+// longer than whole.
 func (w *Watchdog) Answer(r io.Reader, silence, whole time.Duration) io.Reader {
 	w.Feed(silence)
-	w.whole = time.AfterFunc(whole, func() { w.cancel(ErrLong.New("the answer takes longer than allowed")) })
+	w.whole = time.AfterFunc(whole, func() { w.cancel(ErrTooLong.New("the answer takes longer than allowed")) })
 	return w.Reader(r, silence)
 }
 
-// Reader feeds the watchdog with each byte that comes from r.
+// Reader returns a reader of r that feeds the watchdog, with the time allowed,
+// whenever bytes arrive.
 func (w *Watchdog) Reader(r io.Reader, allowed time.Duration) io.Reader {
 	return &fedReader{from: r, watchdog: w, allowed: allowed}
 }
 
+// fedReader is a reader that feeds a watchdog.
 type fedReader struct {
 	from     io.Reader
 	watchdog *Watchdog
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -14,7 +14,8 @@
 
 const allowed = 200 * time.Millisecond
 
-// A long answer that keeps coming is not given up.
+// An answer that takes longer than the allowed time is not cancelled while its
+// bytes keep arriving.
 func TestFedWatchdogWaits(t *testing.T) {
 	ctx, guard := watchdog.New(context.Background(), allowed)
 	defer guard.Stop()
@@ -32,7 +33,8 @@
 	assert.NilError(t, ctx.Err())
 }
 
-// One that has ceased to come is, with the cause.
+// A context whose watchdog is not fed is cancelled with the cause ErrSilent, and
+// feeding the watchdog afterwards does not revive it.
 func TestUnfedWatchdogEndsItsContext(t *testing.T) {
 	ctx, guard := watchdog.New(context.Background(), allowed)
 	defer guard.Stop()
@@ -43,7 +45,7 @@
 	assert.Assert(t, ctx.Err() != nil)
 }
 
-// An answer that never ends is given up, although it keeps coming.
+// An answer that never ends is cancelled although its bytes keep arriving.
 func TestEndlessAnswerIsGivenUp(t *testing.T) {
 	ctx, guard := watchdog.New(context.Background(), allowed)
 	defer guard.Stop()
@@ -62,5 +64,5 @@
 		_, err := answer.Read(make([]byte, 1))
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, errorx.IsOfType(context.Cause(ctx), watchdog.ErrLong))
+	assert.Assert(t, errorx.IsOfType(context.Cause(ctx), watchdog.ErrTooLong))
 }
