--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -23,7 +23,7 @@
 // Watchdog cancels its context when it has not been fed for the allowed time.
 type Watchdog struct {
 	timer *time.Timer
-	// whole limits the total duration of an answer; nil before Answer is called.
+	// whole limits the total duration of an answer; nil until an answer begins.
 	whole  *time.Timer
 	cancel context.CancelCauseFunc
 }
--- a/reqlog/reqlog.go
+++ b/reqlog/reqlog.go
@@ -52,11 +52,12 @@
 	Expired bool   `json:"expired,omitempty"`
 	Error   string `json:"error,omitempty"`
 	Fault   string `json:"fault,omitempty"`
-	// Queue is the service that lacked a resource for the request, Short the name
-	// of the resource, and Behind the time in milliseconds by which the request
-	// would have missed its deadline.
-	Queue  string  `json:"queue,omitempty"`
-	Short  string  `json:"short,omitempty"`
+	// Queue is the service that lacked a resource for the request.
+	Queue string `json:"queue,omitempty"`
+	// Short is the resource that the service lacked.
+	Short string `json:"short,omitempty"`
+	// Behind is how much too late, in milliseconds, the request's work would have
+	// started at that service.
 	Behind float64 `json:"behind_ms,omitempty"`
 	// Pieces is the number of pieces in a call for a stage, and Failed the number
 	// of those that got no result.
