--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -139,7 +139,7 @@
 }
 
 // CloseIdle must not close a connection whose request is being served.
-func TestCloseIdleLeavesWhatIsInUse(t *testing.T) {
+func TestCloseIdleKeepsConnectionInUse(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
 	var s server
 	s.serve(t, func(w http.ResponseWriter, r *http.Request) {
@@ -158,10 +158,10 @@
 }
 
 // A client pipelines two requests in one packet. The server has both in its
-// buffer and reads nothing more, so without the check before the handler the
-// connection counted as idle while the second request ran. A planned stop then
-// closed it, and the client got only one of its two answers.
-func TestCloseIdleLeavesWhatWasReadAhead(t *testing.T) {
+// buffer and reads nothing more. If the connection were marked as in use only
+// by reads, it would count as idle while the second request runs, and a planned
+// stop would close it: the client would get only one of its two answers.
+func TestCloseIdleKeepsPipelinedRequest(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
 	var s server
 	s.serve(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -51,7 +51,7 @@
 
 // When the reader of standard output stalls, lines must be dropped and counted.
 // Otherwise every request of the process blocks in its log call.
-func TestBlockedReaderBlocksNothing(t *testing.T) {
+func TestStalledReaderBlocksNoWriter(t *testing.T) {
 	reader, writer := io.Pipe()
 	t.Cleanup(func() { _ = reader.Close() })
 	s := logsink.New(writer)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -44,8 +44,8 @@
 func (w *Watch) Tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// The tick is dated to its beginning, so that a second pause, during the
-	// handling of the first, is detected at the next tick.
+	// The time of a tick is that of its beginning, so that a second pause, during
+	// the handling of the first, is detected at the next tick.
 	now := w.now()
 	if gap := w.gap(now); gap > Limit {
 		w.onPause(gap)
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -33,7 +33,7 @@
 // A process that is paused between two ticks and then has to send before the
 // next tick must handle the pause first, and only once. Gaps up to Limit are not
 // pauses.
-func TestCheckDealsWithAPauseBeforeTheNextTick(t *testing.T) {
+func TestCheckHandlesPauseBeforeNextTick(t *testing.T) {
 	c := newClock()
 	var gaps []time.Duration
 	w := pause.NewWatch(c.read, func(gap time.Duration) { gaps = append(gaps, gap) })
@@ -58,7 +58,7 @@
 // While a tick handles a pause, other callers of Check must wait for it. If the
 // pause counted as handled as soon as its handling begins, they would send over
 // the connections that are about to be closed.
-func TestAPauseLastsUntilItIsDealtWith(t *testing.T) {
+func TestPauseLastsUntilHandled(t *testing.T) {
 	c := newClock()
 	handling, done := make(chan struct{}), make(chan struct{})
 	w := pause.NewWatch(c.read, func(time.Duration) {
@@ -87,7 +87,7 @@
 
 // A second pause during the handling of the first must be detected and handled
 // too.
-func TestASecondPauseMeanwhileShows(t *testing.T) {
+func TestPauseDuringHandlingIsDetected(t *testing.T) {
 	c := newClock()
 	handled := 0
 	w := pause.NewWatch(c.read, func(time.Duration) {
--- a/internal/sumtree/sumtree_test.go
+++ b/internal/sumtree/sumtree_test.go
@@ -10,9 +10,9 @@
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// TestSumsAsTheNaiveOnes compares the tree with a map that is iterated for each
+// TestSumsMatchNaiveSums compares the tree with a map that is iterated for each
 // sum.
-func TestSumsAsTheNaiveOnes(t *testing.T) {
+func TestSumsMatchNaiveSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tree Tree
 		naive := make(map[Key]Amount)
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -46,7 +46,7 @@
 }
 
 // An answer that never ends is cancelled although its bytes keep arriving.
-func TestEndlessAnswerIsGivenUp(t *testing.T) {
+func TestEndlessAnswerIsCancelled(t *testing.T) {
 	ctx, guard := watchdog.New(context.Background(), allowed)
 	defer guard.Stop()
 	from, to := io.Pipe()
--- a/reqlog/reqlog_test.go
+++ b/reqlog/reqlog_test.go
@@ -58,7 +58,7 @@
 
 // Logs of several processes come from tools that put times and names before
 // the lines. Lines that are not JSON are skipped and counted.
-func TestLinesAreGathered(t *testing.T) {
+func TestReadCollectsLines(t *testing.T) {
 	c := reqlog.NewCollector("a")
 	assert.NilError(t, c.Read(strings.NewReader("   0.45 g1 "+relayed+"\npanic: no JSON\n{broken\n\n"+stranger)))
 	assert.NilError(t, c.Read(strings.NewReader("   0.40 g2 "+call)))
