--- a/cmd/mangostage/gateway.go
+++ b/cmd/mangostage/gateway.go
@@ -59,7 +59,7 @@
 			return err
 		}
 	}
-	story := collector.Story()
+	story := collector.History()
 	if story.Skipped > 0 {
 		_, _ = fmt.Fprintf(errOut, "warning: %d lines are no JSON\n", story.Skipped)
 	}
@@ -78,14 +78,14 @@
 	return collector.Read(file)
 }
 
-func printRequest(out io.Writer, story reqlog.Story) error {
+func printRequest(out io.Writer, story reqlog.History) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "request %s\n", story.Request)
 	for i := range story.Lines {
 		l := &story.Lines[i]
 		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", l.Time.Format(clockFormat), l.Process, l.Event, lineDetail(l))
 	}
-	verdict := string(story.Verdict)
+	verdict := string(story.Outcome)
 	if story.Reason != "" {
 		verdict += " (" + story.Reason + ")"
 	}
@@ -121,14 +121,14 @@
 	text("fault", l.Fault)
 	number("pieces", l.Pieces)
 	number("failed", l.Failed)
-	text("queue", l.Queue)
-	text("short", l.Short)
-	millis("behind", l.Behind)
+	text("queue", l.ShortService)
+	text("short", l.ShortResource)
+	millis("behind", l.LateBy)
 	millis("waited", l.Waited)
 	if l.Slack != nil {
 		millis("slack", *l.Slack)
 	}
-	millis("took", l.Took)
+	millis("took", l.Elapsed)
 	millis("retry_after", l.RetryAfter)
 	if l.ClientLeft {
 		parts = append(parts, "client_left")
--- a/cmd/mangostage/gateway_test.go
+++ b/cmd/mangostage/gateway_test.go
@@ -50,9 +50,9 @@
 	assert.Assert(t, cmp.Contains(lines[2], "slack=-12ms"))
 	assert.Equal(t, lines[4], "cut short (broken_off)")
 	done := runCommand("gateway", "explain", "--output", "json", "a", holder)
-	var story reqlog.Story
+	var story reqlog.History
 	assert.NilError(t, json.Unmarshal([]byte(done.out), &story))
-	assert.Equal(t, story.Verdict, reqlog.CutShort)
+	assert.Equal(t, story.Outcome, reqlog.CutShort)
 	assert.Equal(t, runCommand("gateway", "explain", "a", "no-such.log").code, exitUsage)
 }
 
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -46,12 +46,12 @@
 }
 
 // requestStory returns what the logs say about a request.
-func (r *rig) requestStory(id string) reqlog.Story {
+func (r *rig) requestStory(id string) reqlog.History {
 	r.logs.mu.Lock()
 	defer r.logs.mu.Unlock()
 	c := reqlog.NewCollector(id)
 	assert.NilError(r.t, c.Read(bytes.NewReader(r.logs.text.Bytes())))
-	return c.Story()
+	return c.History()
 }
 
 // From a request's ID and the logs, support must be able to say what became of the
@@ -77,7 +77,7 @@
 	}
 	tests := map[string]struct {
 		path, body string
-		want       reqlog.Verdict
+		want       reqlog.Outcome
 		events     []string
 	}{
 		"answered":    {"/staged/", "prompt", reqlog.Answered, []string{"stage_call", "granted", "sent", "answered"}},
@@ -93,7 +93,7 @@
 				id = ask(test.path, test.body)
 			}
 			// The line is written after the last byte of the answer.
-			testwait.For(t, waitTimeout, func() bool { return r.requestStory(id).Verdict == test.want })
+			testwait.For(t, waitTimeout, func() bool { return r.requestStory(id).Outcome == test.want })
 			var events []string
 			for _, line := range r.requestStory(id).Lines {
 				events = append(events, line.Event)
--- a/reqlog/reqlog.go
+++ b/reqlog/reqlog.go
@@ -52,21 +52,21 @@
 	Expired bool   `json:"expired,omitempty"`
 	Error   string `json:"error,omitempty"`
 	Fault   string `json:"fault,omitempty"`
-	// Queue is the service that lacked a resource for the request.
-	Queue string `json:"queue,omitempty"`
-	// Short is the resource that the service lacked.
-	Short string `json:"short,omitempty"`
-	// Behind is how much too late, in milliseconds, the request's work would have
+	// ShortService is the service that lacked a resource for the request.
+	ShortService string `json:"queue,omitempty"`
+	// ShortResource is the resource that the service lacked.
+	ShortResource string `json:"short,omitempty"`
+	// LateBy is how much too late, in milliseconds, the request's work would have
 	// started at that service.
-	Behind float64 `json:"behind_ms,omitempty"`
+	LateBy float64 `json:"behind_ms,omitempty"`
 	// Pieces is the number of pieces in a call for a stage, and Failed the number
 	// of those that got no result.
 	Pieces int `json:"pieces,omitempty"`
 	Failed int `json:"failed,omitempty"`
 	// Config is the version of the configuration.
 	Config uint64 `json:"config,omitempty"`
-	// Took, Waited, Slack and RetryAfter are in milliseconds.
-	Took       float64  `json:"took_ms,omitempty"`
+	// Elapsed, Waited, Slack and RetryAfter are in milliseconds.
+	Elapsed    float64  `json:"took_ms,omitempty"`
 	Waited     float64  `json:"waited_ms,omitempty"`
 	Slack      *float64 `json:"slack_ms,omitempty"`
 	RetryAfter float64  `json:"retry_after_ms,omitempty"`
@@ -78,37 +78,37 @@
 	eventStarted  = "started"
 )
 
-// Verdict is the outcome of a request as far as the logs prove it.
-type Verdict string
+// Outcome is the outcome of a request as far as the logs prove it.
+type Outcome string
 
 // The outcomes of a request.
 const (
 	// Answered means that the client got an endpoint's complete answer.
-	Answered Verdict = "answered"
+	Answered Outcome = "answered"
 	// Failed means that the client got a complete error answer from an endpoint.
-	Failed Verdict = "failed at the endpoint"
+	Failed Outcome = "failed at the endpoint"
 	// Refused means that the request was refused and has not run.
-	Refused Verdict = "refused: it has not run"
+	Refused Outcome = "refused: it has not run"
 	// CutShort means that the answer ended before it was complete.
-	CutShort Verdict = "cut short"
+	CutShort Outcome = "cut short"
 	// ClientLeft means that the client disconnected before the end.
-	ClientLeft Verdict = "given up by its client"
+	ClientLeft Outcome = "given up by its client"
 	// Unknown means that the request may have run but got no endpoint's answer.
-	Unknown Verdict = "unknown: it may have run"
+	Unknown Outcome = "unknown: it may have run"
 	// Lost means that the gateway that handled the request restarted before its
 	// end.
-	Lost Verdict = "lost with its gateway: it may have run"
+	Lost Outcome = "lost with its gateway: it may have run"
 	// NotFound means that no line mentions the request. This is no proof that no
 	// gateway received it.
-	NotFound Verdict = "not found in these logs"
+	NotFound Outcome = "not found in these logs"
 	// Unfinished means that lines mention the request but none reports its end.
-	Unfinished Verdict = "no end in these logs: it is under way, or lines are missing"
+	Unfinished Outcome = "no end in these logs: it is under way, or lines are missing"
 )
 
-// Story is the history of one request in the logs.
-type Story struct {
+// History is the history of one request in the logs.
+type History struct {
 	Request string  `json:"request"`
-	Verdict Verdict `json:"verdict"`
+	Outcome Outcome `json:"verdict"`
 	// Reason is the reason in the line that reports the end; empty without one.
 	Reason string `json:"reason,omitempty"`
 	// Lines are the lines about the request in the order of their times.
@@ -119,14 +119,14 @@
 
 // Collector gathers the lines of one request from any number of logs.
 type Collector struct {
-	story Story
+	story History
 	// starts holds the start times of each process.
 	starts map[string][]time.Time
 }
 
 // NewCollector returns a Collector for the request with this ID.
 func NewCollector(request string) *Collector {
-	return &Collector{story: Story{Request: request}, starts: make(map[string][]time.Time)}
+	return &Collector{story: History{Request: request}, starts: make(map[string][]time.Time)}
 }
 
 // Read adds the lines of one log. Text before the JSON of a line is ignored,
@@ -167,20 +167,20 @@
 	}
 }
 
-// Story returns the collected lines with the outcome of the request. Lines are
+// History returns the collected lines with the outcome of the request. Lines are
 // in the order of their times; the clocks of processes may differ by some
 // milliseconds.
-func (c *Collector) Story() Story {
+func (c *Collector) History() History {
 	s := c.story
 	sort.SliceStable(s.Lines, func(i, j int) bool { return s.Lines[i].Time.Before(s.Lines[j].Time) })
-	s.Verdict, s.Reason = c.classify(s.Lines)
+	s.Outcome, s.Reason = c.classify(s.Lines)
 	return s
 }
 
 // classify derives the outcome and its reason from the last line that reports
 // the end of the request. If there is none, a later start of a process that
 // handled the request proves that the request was lost with that process.
-func (c *Collector) classify(lines []Line) (Verdict, string) {
+func (c *Collector) classify(lines []Line) (Outcome, string) {
 	if len(lines) == 0 {
 		return NotFound, ""
 	}
@@ -215,7 +215,7 @@
 )
 
 // verdict returns the outcome that a line on a request's end reports.
-func (l *Line) verdict() Verdict {
+func (l *Line) verdict() Outcome {
 	switch {
 	case l.Reason == reasonRelayed:
 		return Answered
--- a/reqlog/reqlog_test.go
+++ b/reqlog/reqlog_test.go
@@ -30,7 +30,7 @@
 func TestVerdict(t *testing.T) {
 	tests := map[string]struct {
 		logs   []string
-		want   reqlog.Verdict
+		want   reqlog.Outcome
 		reason string
 	}{
 		"answered":                  {[]string{granted, sent, relayed}, reqlog.Answered, "relayed"},
@@ -49,8 +49,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := reqlog.NewCollector("a")
 			assert.NilError(t, c.Read(strings.NewReader(strings.Join(test.logs, "\n"))))
-			story := c.Story()
-			assert.Equal(t, story.Verdict, test.want)
+			story := c.History()
+			assert.Equal(t, story.Outcome, test.want)
 			assert.Equal(t, story.Reason, test.reason)
 		})
 	}
@@ -62,7 +62,7 @@
 	c := reqlog.NewCollector("a")
 	assert.NilError(t, c.Read(strings.NewReader("   0.45 g1 "+relayed+"\npanic: no JSON\n{broken\n\n"+stranger)))
 	assert.NilError(t, c.Read(strings.NewReader("   0.40 g2 "+call)))
-	story := c.Story()
+	story := c.History()
 	assert.Equal(t, len(story.Lines), 2)
 	assert.Equal(t, story.Lines[0].Event, "stage_call")
 	assert.Equal(t, story.Lines[0].Service, "encode")
@@ -77,6 +77,6 @@
 		if c.Read(strings.NewReader(text)) != nil {
 			return
 		}
-		assert.Assert(t, c.Story().Verdict != "")
+		assert.Assert(t, c.History().Outcome != "")
 	})
 }
