--- a/balance/balance.go
+++ b/balance/balance.go
@@ -78,7 +78,7 @@
 	inFlight  int
 	latency   time.Duration
 	failures  health.Rate
-	pause     health.Pause
+	pause     health.Backoff
 	coldLimit warm.Limiter
 	// reportedLoad is the number of running and waiting requests that the
 	// endpoint reported at loadAt.
@@ -163,21 +163,21 @@
 	case Served:
 		s.latency += time.Duration(latencyWeight * float64(latency-s.latency))
 		s.recordOutcome(now, false)
-		s.pause.Clear()
+		s.pause.ResetFailures()
 	case Failed:
 		s.recordOutcome(now, true)
-		s.pause.Clear()
+		s.pause.ResetFailures()
 	case Full:
-		s.pause.Hold(fullPause, now)
+		s.pause.BlockFor(fullPause, now)
 	case Silent:
 		s.recordOutcome(now, true)
-		s.pause.Fail(minPause, maxPause, now)
+		s.pause.RecordFailure(minPause, maxPause, now)
 	case Abandoned:
 	}
 }
 
 func (s *endpointState) recordOutcome(now time.Time, failed bool) {
-	s.failures.Learn(failed, failureWeight, failureHalfLife, now)
+	s.failures.Record(failed, failureWeight, failureHalfLife, now)
 }
 
 // Forget drops the state of endpoints that are no longer in the view and have
--- a/dispatch/calls.go
+++ b/dispatch/calls.go
@@ -211,7 +211,7 @@
 		// not know of. It counts as a failed try: after a loss of all gateways this lasts
 		// for seconds, and jobs that are kept until they can be served delay those after
 		// them.
-		w.pause.Hold(refusalPause, now)
+		w.pause.BlockFor(refusalPause, now)
 	case fault == FaultWorkFailed:
 		s.avoidKey = w.key
 	}
--- a/dispatch/engine.go
+++ b/dispatch/engine.go
@@ -64,7 +64,7 @@
 	slowness slowness
 	failures health.Rate
 	// pause is active after failed requests.
-	pause health.Pause
+	pause health.Backoff
 	// pace limits the requests to the engine while it is cold.
 	pace warm.Limiter
 	// removed is true if the endpoint is no longer listed.
@@ -163,11 +163,11 @@
 
 // observeOutcome notes whether a request was served.
 func (e *engine) observeOutcome(ok bool, now time.Time) {
-	e.failures.Learn(!ok, failWeight, failHalfLife, now)
+	e.failures.Record(!ok, failWeight, failHalfLife, now)
 	if ok {
-		e.pause.Clear()
+		e.pause.ResetFailures()
 	} else {
-		e.pause.Fail(pauseMin, pauseMax, now)
+		e.pause.RecordFailure(pauseMin, pauseMax, now)
 	}
 }
 
--- a/dispatch/incarnation_test.go
+++ b/dispatch/incarnation_test.go
@@ -175,7 +175,7 @@
 	c.SetView(epoch, view)
 	w := c.pools[serviceHeavy].workers[0]
 	w.speed = speedMax
-	w.pause.Fail(pauseMax, pauseMax, epoch)
+	w.pause.RecordFailure(pauseMax, pauseMax, epoch)
 	e := c.modelEngines[serviceModel].all[0]
 	e.observeOutcome(false, epoch)
 	e.cache.touch([]catalog.PrefixPart{{ID: "p", Tokens: 9}})
--- a/dispatch/window.go
+++ b/dispatch/window.go
@@ -39,7 +39,7 @@
 	// contended is true from the first contended round on; raiseLimit resets it.
 	contended bool
 	// pause is active after a refused call.
-	pause health.Pause
+	pause health.Backoff
 }
 
 // full reports whether no further call may start now.
@@ -73,9 +73,9 @@
 	w.roundEnded++
 	if refused {
 		w.roundRefused++
-		w.pause.Fail(refusalPause, windowPauseMax, now)
+		w.pause.RecordFailure(refusalPause, windowPauseMax, now)
 	} else {
-		w.pause.Clear()
+		w.pause.ResetFailures()
 	}
 	if now.Sub(w.roundStart) < round {
 		return
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -53,7 +53,7 @@
 	// domain, until a call returns in time.
 	suspect bool
 	// pause is active after failed and refused calls.
-	pause health.Pause
+	pause health.Backoff
 	// consecutiveRefusals counts the calls refused since the last one that was
 	// answered.
 	consecutiveRefusals int
@@ -115,13 +115,13 @@
 // callRefused pauses calls to the worker, for longer with each consecutive
 // refusal: calls of other owners fill the endpoint.
 func (w *worker) callRefused(now time.Time) {
-	w.pause.Hold(refusalPause<<min(w.consecutiveRefusals, maxRefusalDoublings), now)
+	w.pause.BlockFor(refusalPause<<min(w.consecutiveRefusals, maxRefusalDoublings), now)
 	w.consecutiveRefusals++
 }
 
 // callAnswered notes that the endpoint has answered a call.
 func (w *worker) callAnswered() {
-	w.pause.Clear()
+	w.pause.ResetFailures()
 	w.consecutiveRefusals = 0
 }
 
@@ -141,7 +141,7 @@
 // time that has passed. Until a call returns in time the endpoint gets one piece a
 // call.
 func (w *worker) callLost(cl *call, now time.Time) {
-	w.pause.Fail(pauseMin, pauseMax, now)
+	w.pause.RecordFailure(pauseMin, pauseMax, now)
 	least := min(speedMax, float64(now.Sub(cl.sentAt))/float64(cl.expectedTime))
 	w.speed = max(w.speed, least)
 	w.suspect = true
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -13,9 +13,9 @@
 	at    time.Time
 }
 
-// Learn adds the outcome of one request; weight, from 0 to 1, is its share in
+// Record adds the outcome of one request; weight, from 0 to 1, is its share in
 // the new rate.
-func (r *Rate) Learn(failed bool, weight float64, halfLife time.Duration, now time.Time) {
+func (r *Rate) Record(failed bool, weight float64, halfLife time.Duration, now time.Time) {
 	outcome := 0.0
 	if failed {
 		outcome = 1
@@ -38,26 +38,26 @@
 // overflow.
 const maxDoublings = 5
 
-// Pause is an exponential backoff: an endpoint that fails gets no requests for a
+// Backoff is an exponential backoff: an endpoint that fails gets no requests for a
 // while, which doubles with each consecutive failure.
-type Pause struct {
+type Backoff struct {
 	// failures is the number of consecutive failures.
 	failures int
 	until    time.Time
 }
 
-// Fail begins a pause after a failure. Its duration is first, doubled for each
+// RecordFailure begins a pause after a failure. Its duration is first, doubled for each
 // consecutive failure before this one, up to most.
-func (p *Pause) Fail(first, most time.Duration, now time.Time) {
+func (p *Backoff) RecordFailure(first, most time.Duration, now time.Time) {
 	p.until = now.Add(min(most, first<<min(p.failures, maxDoublings)))
 	p.failures++
 }
 
-// Hold begins a pause of d, independent of the number of failures.
-func (p *Pause) Hold(d time.Duration, now time.Time) { p.until = now.Add(d) }
+// BlockFor begins a pause of d, independent of the number of failures.
+func (p *Backoff) BlockFor(d time.Duration, now time.Time) { p.until = now.Add(d) }
 
-// Clear resets the number of failures; it does not end a pause that has begun.
-func (p *Pause) Clear() { p.failures = 0 }
+// ResetFailures resets the number of failures; it does not end a pause that has begun.
+func (p *Backoff) ResetFailures() { p.failures = 0 }
 
 // Active reports whether a pause is in effect at now.
-func (p *Pause) Active(now time.Time) bool { return now.Before(p.until) }
+func (p *Backoff) Active(now time.Time) bool { return now.Before(p.until) }
