--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -115,7 +115,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	earlier := keepalive.Earlier(r.Context())
+	earlier := keepalive.EarlierRequests(r.Context())
 	req, p := g.admit(r)
 	if g.shutdown.stopping() {
 		w.Header().Set("Connection", "close")
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -71,9 +71,9 @@
 	})
 }
 
-// Earlier returns the number of requests that preceded the request of ctx on its
+// EarlierRequests returns the number of requests that preceded the request of ctx on its
 // connection; 0 on servers that are not attached.
-func Earlier(ctx context.Context) int64 {
+func EarlierRequests(ctx context.Context) int64 {
 	conn, ok := ctx.Value(connKey{}).(*conn)
 	if !ok {
 		return 0
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -143,7 +143,7 @@
 	began, release := make(chan struct{}), make(chan struct{})
 	var s server
 	s.serve(t, func(w http.ResponseWriter, r *http.Request) {
-		assert.Check(t, keepalive.Earlier(r.Context()) == 0)
+		assert.Check(t, keepalive.EarlierRequests(r.Context()) == 0)
 		close(began)
 		<-release
 		_, _ = fmt.Fprint(w, "ok")
