--- a/confsvc/client.go
+++ b/confsvc/client.go
@@ -167,7 +167,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return decode(guard.Answer(resp.Body, c.timeout, MaxReplyTime), path, limit, into)
+		return decode(guard.AnswerReader(resp.Body, c.timeout, MaxReplyTime), path, limit, into)
 	case http.StatusTooManyRequests:
 		return ErrRateLimited.New("get %s: too many calls", path)
 	case http.StatusNotFound:
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -53,10 +53,10 @@
 	w.cancel(context.Canceled)
 }
 
-// Answer returns a reader of r, the body of an answer that has begun. The context
+// AnswerReader returns a reader of r, the body of an answer that has begun. The context
 // is cancelled if no byte arrives for the time silence, or if the answer takes
 // longer than whole.
-func (w *Watchdog) Answer(r io.Reader, silence, whole time.Duration) io.Reader {
+func (w *Watchdog) AnswerReader(r io.Reader, silence, whole time.Duration) io.Reader {
 	w.Feed(silence)
 	w.whole = time.AfterFunc(whole, func() { w.cancel(ErrTooLong.New("the answer takes longer than allowed")) })
 	return w.Reader(r, silence)
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -59,7 +59,7 @@
 			time.Sleep(allowed / 20)
 		}
 	}()
-	answer := guard.Answer(from, allowed, 2*allowed)
+	answer := guard.AnswerReader(from, allowed, 2*allowed)
 	for ctx.Err() == nil {
 		_, err := answer.Read(make([]byte, 1))
 		assert.NilError(t, err)
