--- a/bundle/holder.go
+++ b/bundle/holder.go
@@ -156,7 +156,7 @@
 }
 
 // FinishCollecting ends the collection and adopts the best candidate. If there is none,
-// it reports ResultNothing and the holder continues to collect; call it again
+// it reports ResultNoCandidate and the holder continues to collect; call it again
 // later. If a bundle is already in force, it changes nothing and reports
 // ResultHeld.
 func (h *Holder) FinishCollecting(now time.Time) Adoption {
--- a/dispatch/effect.go
+++ b/dispatch/effect.go
@@ -68,7 +68,8 @@
 	Reason Reason `json:"reason"`
 	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration `json:"retry_after"`
-	// ShortService is the service that was short of a resource, and Short the resource.
+	// ShortService is the service that was short of a resource, and ShortResource the
+	// resource.
 	ShortService  string   `json:"queue,omitempty"`
 	ShortResource Resource `json:"short,omitempty"`
 	// LateBy is how late the job would have started there.
--- a/dispatch/job.go
+++ b/dispatch/job.go
@@ -30,7 +30,7 @@
 	// Priority ranks the job; 0 is the most urgent.
 	Priority int `json:"priority"`
 	// Objective and Deadline are the times left until the objective and the deadline;
-	// Usual is the full objective of a first try.
+	// RouteObjective is the full objective of a first try.
 	Objective      time.Duration `json:"objective"`
 	Deadline       time.Duration `json:"deadline"`
 	RouteObjective time.Duration `json:"usual"`
--- a/entry/lookup.go
+++ b/entry/lookup.go
@@ -47,7 +47,7 @@
 	return part
 }
 
-// mergeRecords gathers the records of a request and merges them into a story.
+// mergeRecords gathers the records of a request and merges them into a timeline.
 //
 // A request with a held ID can be submitted through several entries, and a
 // refusal applies to one submission only. If one submission is refused, the next
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -185,7 +185,7 @@
 
 // chooseEngine returns the engine that the queue owner chose, unless it has left or
 // has already failed this request. Otherwise the balancer picks one: picked is then
-// true, and the balancer counts the request as in flight until Ended is called. e is
+// true, and the balancer counts the request as in flight until Done is called. e is
 // nil if no engine is left.
 func (g *Gateway) chooseEngine(m *modelRequest) (e *catalog.Endpoint, picked bool) {
 	view := g.viewFor(m.request)
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -395,7 +395,7 @@
 	texts      string
 }
 
-// formatStory formats a story in a few lines for messages.
+// formatStory formats a timeline in a few lines for messages.
 func formatStory(s *ledger.Timeline) string {
 	text := s.Verdict
 	for _, line := range s.Lines {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -2,7 +2,7 @@
 // jsonrpc2. Each method has one typed parameter, and each method that is not a
 // notification has one typed result.
 //
-// Terms: a submission is one sending of a request by a client; a client that
+// Terms: a submission is one arrival of a request from its caller; a caller that
 // resends a request makes another submission with the same identity. A stage is
 // unrepeatable if it is not idempotent, so that it must run at most once for an
 // identity. A bundle is the signed configuration of the fleet.
