--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// requestStory returns what the logs say about a request.
-func (r *rig) requestStory(id string) reqlog.History {
+// requestHistory returns what the logs say about a request.
+func (r *rig) requestHistory(id string) reqlog.History {
 	r.logs.mu.Lock()
 	defer r.logs.mu.Unlock()
 	c := reqlog.NewCollector(id)
@@ -93,9 +93,9 @@
 				id = ask(test.path, test.body)
 			}
 			// The line is written after the last byte of the answer.
-			testwait.For(t, waitTimeout, func() bool { return r.requestStory(id).Outcome == test.want })
+			testwait.For(t, waitTimeout, func() bool { return r.requestHistory(id).Outcome == test.want })
 			var events []string
-			for _, line := range r.requestStory(id).Lines {
+			for _, line := range r.requestHistory(id).Lines {
 				events = append(events, line.Event)
 			}
 			assert.DeepEqual(t, events, test.events)
--- a/integration/orders_test.go
+++ b/integration/orders_test.go
@@ -350,7 +350,7 @@
 		}
 		totals.add(e)
 		if problem := explanationMismatch(o, s, e); problem != "" {
-			b.add(wrongExplanation, "%s (%s): %s; %s; %s", o.marker, o.identifiedBy, problem, o.history(), formatStory(&e.Timeline))
+			b.add(wrongExplanation, "%s (%s): %s; %s; %s", o.marker, o.identifiedBy, problem, o.history(), formatTimeline(&e.Timeline))
 		}
 	}
 	if problem := totals.mismatch(n); problem != "" {
@@ -395,8 +395,8 @@
 	texts      string
 }
 
-// formatStory formats a timeline in a few lines for messages.
-func formatStory(s *ledger.Timeline) string {
+// formatTimeline formats a timeline in a few lines for messages.
+func formatTimeline(s *ledger.Timeline) string {
 	text := s.Verdict
 	for _, line := range s.Lines {
 		if r := line.Record; r != nil {
@@ -411,7 +411,7 @@
 
 func (s *explanationTotals) add(e *entry.Explanation) {
 	s.explained++
-	s.texts += "\n  " + formatStory(&e.Timeline)
+	s.texts += "\n  " + formatTimeline(&e.Timeline)
 	switch e.Timeline.Outcome {
 	case api.OutcomeRefused:
 		s.refused++
--- a/integration/outcomes_test.go
+++ b/integration/outcomes_test.go
@@ -258,7 +258,7 @@
 	b.fleet.WaitReady(recoveryTimeout)
 	e, err := b.fleet.Explain(t.Context(), 0, o.call.HeldID)
 	assert.NilError(t, err)
-	t.Log(formatStory(&e.Timeline))
+	t.Log(formatTimeline(&e.Timeline))
 	assert.Equal(t, e.Timeline.Outcome, api.OutcomeUnknown)
 	assert.Assert(t, !e.Timeline.Complete)
 	assert.Equal(t, b.runs()[o.marker], 1)
--- a/pipeline/stage.go
+++ b/pipeline/stage.go
@@ -72,7 +72,7 @@
 	}
 	t.stopWaiting()
 	t.emit(t.logEntry(d))
-	t.send(d.Endpoint, false, verdict.Alone)
+	t.send(d.Endpoint, false, verdict.Exclusive)
 }
 
 // waitOrGiveUp handles the lack of a usable endpoint: the request waits for one
@@ -209,7 +209,7 @@
 	}
 	// Content suspected of crashing endpoints does not run on two endpoints at
 	// the same time.
-	if !verdict.Alone {
+	if !verdict.Exclusive {
 		d := t.pick()
 		log := t.logEntry(d)
 		log.Hedge = true
--- a/reqlog/reqlog.go
+++ b/reqlog/reqlog.go
@@ -186,7 +186,7 @@
 	}
 	for i := len(lines) - 1; i >= 0; i-- {
 		if l := lines[i]; l.Event == eventAnswered {
-			return l.verdict(), l.Reason
+			return l.outcome(), l.Reason
 		}
 	}
 	for i := len(lines) - 1; i >= 0; i-- {
@@ -214,8 +214,8 @@
 	reasonBrokenOff     = "broken_off"
 )
 
-// verdict returns the outcome that a line on a request's end reports.
-func (l *Line) verdict() Outcome {
+// outcome returns the outcome that a line on a request's end reports.
+func (l *Line) outcome() Outcome {
 	switch {
 	case l.Reason == reasonRelayed:
 		return Answered
--- a/suspect/content.go
+++ b/suspect/content.go
@@ -59,7 +59,7 @@
 	if c.running > 0 && c.running+crashes >= limit {
 		return Decision{Refuse: true, RetryAfter: copiesRetryAfter}
 	}
-	return Decision{Alone: true}
+	return Decision{Exclusive: true}
 }
 
 // totalCrashes returns the number of crashes in the current epoch.
--- a/suspect/outage_test.go
+++ b/suspect/outage_test.go
@@ -16,9 +16,9 @@
 	crashOn(table, "other", "engine-3", start, "third")
 	crashOn(table, "a", "engine-1", start, "b")
 	now := start.Add(15 * time.Millisecond)
-	assert.Equal(t, crashOn(table, "a", "engine-2", now), Decision{Alone: true})
+	assert.Equal(t, crashOn(table, "a", "engine-2", now), Decision{Exclusive: true})
 	assert.Equal(t, table.RefusedFor("a", now), time.Duration(0))
-	assert.Equal(t, table.Begin("a", now), Decision{Alone: true})
+	assert.Equal(t, table.Begin("a", now), Decision{Exclusive: true})
 	table.Succeeded("a", now)
 	assert.Equal(t, table.Begin("a", now), Decision{})
 }
--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -73,8 +73,8 @@
 	Refuse bool
 	// RetryAfter is the time after which a refused request may be tried again.
 	RetryAfter time.Duration
-	// Alone is true if the content must run with nothing else on the endpoint.
-	Alone bool
+	// Exclusive is true if the content must run with nothing else on the endpoint.
+	Exclusive bool
 }
 
 // Crash is a crash of an endpoint during a call with the content.
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -37,12 +37,12 @@
 	}
 	now := start.Add(time.Second)
 	for _, key := range batch[1:] {
-		assert.Equal(t, table.Begin(key, now), Decision{Alone: true})
+		assert.Equal(t, table.Begin(key, now), Decision{Exclusive: true})
 		table.Succeeded(key, now)
 		assert.Equal(t, table.Begin(key, now), Decision{})
 		table.Ended(key, now)
 	}
-	assert.Equal(t, crashOn(table, "bad", "engine-2", now), Decision{Alone: true})
+	assert.Equal(t, crashOn(table, "bad", "engine-2", now), Decision{Exclusive: true})
 	assert.Equal(t, table.Begin("bad", now), Decision{Refuse: true, RetryAfter: quarantineDuration})
 	other := New("entry-2/a", limit)
 	other.Merge(table.Counts(now.Add(time.Minute)), now.Add(time.Minute))
@@ -55,7 +55,7 @@
 func TestFirstCrashAloneDoesNotQuarantine(t *testing.T) {
 	table := New("entry-1/a", limit)
 	crashOn(table, "a", "engine-1", start)
-	assert.Equal(t, table.Begin("a", start), Decision{Alone: true})
+	assert.Equal(t, table.Begin("a", start), Decision{Exclusive: true})
 	table.Succeeded("a", start)
 	assert.Equal(t, table.Begin("a", start), Decision{})
 }
@@ -122,7 +122,7 @@
 		tables[0].Merge(table.Counts(start), start)
 	}
 	assert.Equal(t, tables[0].RefusedFor("popular", start), time.Duration(0))
-	assert.Equal(t, tables[0].Begin("popular", start), Decision{Alone: true})
+	assert.Equal(t, tables[0].Begin("popular", start), Decision{Exclusive: true})
 }
 
 // Content crashes engines at one entry until that entry quarantines it, while at
@@ -150,7 +150,7 @@
 	now := start.Add(quarantineDuration)
 	assert.Equal(t, table.RefusedFor("bad", now), time.Duration(0))
 	// Quarantined content stays suspect, and one more crash quarantines it again.
-	assert.Equal(t, crashOn(table, "bad", "e3", now), Decision{Alone: true})
+	assert.Equal(t, crashOn(table, "bad", "e3", now), Decision{Exclusive: true})
 	assert.Equal(t, table.RefusedFor("bad", now), quarantineDuration)
 	assert.Equal(t, table.Begin("shared", now.Add(time.Second)), Decision{})
 	table.Ended("shared", now)
